--- a/crates/core/src/ownership/machine/claiming.rs
+++ b/crates/core/src/ownership/machine/claiming.rs
@@ -30,7 +30,7 @@
 impl Ownership {
     /// Appends a claim.
     pub(super) fn claim(&mut self, now: Moment, claim: Claim, out: &mut Outbox) {
-        if let Some(controller) = claim.line.first() {
+        if let Some(controller) = claim.controllers.first() {
             out.explain(Happening::TermClaimed {
                 term: claim.term,
                 controller: controller.node.clone(),
@@ -83,7 +83,10 @@
 
     /// Chooses when to claim: after every deputy had its turn, and ever more seldom.
     fn next_claim(&mut self, now: Moment) -> Moment {
-        let line = self.voter.term().map_or(0, |term| term.claim.line.len());
+        let line = self
+            .voter
+            .term()
+            .map_or(0, |term| term.claim.controllers.len());
         let deputies = u32::try_from(line).unwrap_or(0);
         let base = if self.log.term().is_none() && self.log.has_gap() {
             GAP_WAIT
--- a/crates/core/src/ownership/machine/control_log.rs
+++ b/crates/core/src/ownership/machine/control_log.rs
@@ -138,13 +138,13 @@
     }
 
     fn claim(&mut self, offset: Offset, claim: Claim) {
-        if claim.line.is_empty() || claim.voters.len().is_multiple_of(2) {
+        if claim.controllers.is_empty() || claim.voters.len().is_multiple_of(2) {
             return;
         }
-        let wins = match (&self.term, claim.base) {
+        let wins = match (&self.term, claim.predecessor) {
             (Some(state), Some(base)) => base == state.term() && claim.term == base.next(),
             (Some(state), None) => claim.term > state.term(),
-            (None, None) => self.start <= claim.through,
+            (None, None) => self.start <= claim.next_offset,
             (None, Some(_)) => {
                 self.undecided.push((offset, claim));
                 return;
@@ -159,14 +159,14 @@
         let own = claim.times.full_wait();
         let (earlier, wait) = match self.term.take() {
             None => (Vec::new(), own),
-            Some(state) => (state.quorums(), state.wait_after().max(own)),
+            Some(state) => (state.voter_sets(), state.successor_wait().max(own)),
         };
         self.undecided.clear();
         self.joins.clear();
         self.term = Some(TermState {
             claim,
-            earlier,
-            wait,
+            earlier_voters: earlier,
+            unreported_wait: wait,
             established: false,
         });
     }
@@ -176,7 +176,7 @@
             && state.term() == term
         {
             state.established = true;
-            state.earlier.clear();
+            state.earlier_voters.clear();
         }
     }
 
@@ -184,12 +184,12 @@
     /// only for a reader that has everything since that offset; otherwise a claim that lost to an
     /// unread one would seem to win.
     fn restore(&mut self, checkpoint: Checkpoint) {
-        if self.term.is_some() || self.start > checkpoint.through {
+        if self.term.is_some() || self.start > checkpoint.next_offset {
             return;
         }
         self.term = Some(checkpoint.term);
         for (offset, claim) in std::mem::take(&mut self.undecided) {
-            if offset >= checkpoint.through {
+            if offset >= checkpoint.next_offset {
                 self.claim(offset, claim);
             }
         }
--- a/crates/core/src/ownership/machine/controller/calls.rs
+++ b/crates/core/src/ownership/machine/controller/calls.rs
@@ -40,7 +40,7 @@
         }
         self.called = Some(context.now);
         let next = self.ballot.rank.0 as usize + 1;
-        let line = self.term.claim.line.iter();
+        let line = self.term.claim.controllers.iter();
         let deputies = line.skip(next).take(CALLED_DEPUTIES);
         let mut nodes: Vec<NodeName> = deputies.map(|member| member.node.clone()).collect();
         nodes.push(context.own.node.clone());
@@ -60,7 +60,7 @@
     }
 
     /// Introduces the controller, with its term, to a node that does not know it.
-    pub(in crate::ownership::machine) fn introduce(
+    pub(in crate::ownership::machine) fn send_term(
         &mut self,
         context: &Context<'_>,
         node: &NodeName,
@@ -80,7 +80,7 @@
                 seat.called = Some(context.now);
                 seat.calls = seat.calls.saturating_add(1);
             }
-            self.introduce(context, &node, out);
+            self.send_term(context, &node, out);
         }
     }
 
--- a/crates/core/src/ownership/machine/controller/heartbeats.rs
+++ b/crates/core/src/ownership/machine/controller/heartbeats.rs
@@ -21,7 +21,7 @@
 
 impl Controller {
     /// Takes a heartbeat of a node that follows this controller, and answers it if it may.
-    pub(in crate::ownership::machine) fn take_heartbeat(
+    pub(in crate::ownership::machine) fn handle_heartbeat(
         &mut self,
         context: &Context<'_>,
         heartbeat: Box<Heartbeat>,
@@ -74,7 +74,7 @@
         }
         if seat.profile.is_none() && heartbeat.profile.is_none() {
             let node = heartbeat.node.clone();
-            self.introduce(context, &node, out);
+            self.send_term(context, &node, out);
             return false;
         }
         seat.number = heartbeat.number;
@@ -109,7 +109,7 @@
                 return true;
             }
             let node = heartbeat.node.clone();
-            self.introduce(context, &node, out);
+            self.send_term(context, &node, out);
             return false;
         };
         for holding in report {
--- a/crates/core/src/ownership/machine/controller/mod.rs
+++ b/crates/core/src/ownership/machine/controller/mod.rs
@@ -90,7 +90,7 @@
         let mut controller = Self {
             ballot,
             opened: context.now,
-            authority: Authority::open(term.quorums()),
+            authority: Authority::open(term.voter_sets()),
             established: None,
             seats: BTreeMap::new(),
             slices: BTreeMap::new(),
@@ -206,7 +206,7 @@
     }
 
     /// Explains that the controller stands down.
-    pub(super) fn explain_end(&self, reason: StandDownReason, out: &mut Outbox) {
+    pub(super) fn explain_stand_down(&self, reason: StandDownReason, out: &mut Outbox) {
         out.explain(Happening::ControllerStoodDown {
             term: self.ballot.term,
             rank: self.ballot.rank,
--- a/crates/core/src/ownership/machine/controller/moves.rs
+++ b/crates/core/src/ownership/machine/controller/moves.rs
@@ -167,7 +167,7 @@
 
     /// Tells whether a node still holds or awaits a slice, or a move has not come to its end. A
     /// controller that left before would leave the slice to the two-lease wait of its successor.
-    pub(in crate::ownership::machine) fn owes_moves(&self, node: &NodeName) -> bool {
+    pub(in crate::ownership::machine) fn has_unfinished_moves(&self, node: &NodeName) -> bool {
         let open = |entry: &super::SliceEntry| {
             let assignment = entry.assignment();
             let taking = assignment.is_some_and(|known| !known.confirmed);
--- a/crates/core/src/ownership/machine/controller/records.rs
+++ b/crates/core/src/ownership/machine/controller/records.rs
@@ -29,7 +29,10 @@
 
 impl Controller {
     /// Tells whether the log does not say yet that this term is established.
-    pub(in crate::ownership::machine) fn owes_established(&self, context: &Context<'_>) -> bool {
+    pub(in crate::ownership::machine) fn needs_established_record(
+        &self,
+        context: &Context<'_>,
+    ) -> bool {
         let term = context.log.term();
         let open = term.is_some_and(|state| state.term() == self.ballot.term && !state.established);
         self.is_established() && open && context.log.is_current()
@@ -59,7 +62,7 @@
         self.log_lost = false;
         self.checkpointed = Some(context.now);
         Some(Checkpoint {
-            through: context.log.next(),
+            next_offset: context.log.next(),
             term: term.clone(),
         })
     }
@@ -68,7 +71,7 @@
     ///
     /// No slice moves meanwhile: one that has been released and not yet granted when the new term
     /// begins would wait two lease times, because nobody could report it.
-    pub(in crate::ownership::machine) fn due_succession(
+    pub(in crate::ownership::machine) fn due_claim(
         &mut self,
         context: &Context<'_>,
     ) -> Option<Claim> {
@@ -118,7 +121,7 @@
     /// A node that is cut off may have claimed a term in the meantime, with voters of its own
     /// choice. Giving up this term for one that can't be established would stop the whole cell.
     fn reaches_voters(&self, context: &Context<'_>) -> bool {
-        let quorums = context.log.term().map(|state| state.quorums());
+        let quorums = context.log.term().map(|state| state.voter_sets());
         let heard = |node: &&NodeName| {
             let seat = self.seats.get(*node);
             seat.is_some_and(|seat| seat.is_heard_within(context.now, self.times().lease()))
--- a/crates/core/src/ownership/machine/controller/takeover.rs
+++ b/crates/core/src/ownership/machine/controller/takeover.rs
@@ -40,7 +40,7 @@
             entry.state = if extends {
                 SliceState::Granted(assignment.clone())
             } else {
-                SliceState::Waiting(context.now + self.term.wait.as_duration())
+                SliceState::Waiting(context.now + self.term.unreported_wait.as_duration())
             };
         }
         self.index_fences();
@@ -57,7 +57,7 @@
         if established && !self.term.established {
             let mut term = self.term.as_ref().clone();
             term.established = true;
-            term.earlier.clear();
+            term.earlier_voters.clear();
             self.term = term.into();
             self.authority.narrow(self.term.voter_names());
         }
@@ -74,7 +74,7 @@
             return None;
         }
         let wait = if context.rules.full_wait {
-            self.term.wait.as_duration()
+            self.term.unreported_wait.as_duration()
         } else {
             self.times().lease()
         };
--- a/crates/core/src/ownership/machine/events.rs
+++ b/crates/core/src/ownership/machine/events.rs
@@ -69,7 +69,7 @@
             return;
         }
         self.search.note_claim(now);
-        if let Some(controller) = state.claim.line.first() {
+        if let Some(controller) = state.claim.controllers.first() {
             out.explain(Happening::TermWon {
                 term: state.term(),
                 controller: controller.node.clone(),
--- a/crates/core/src/ownership/machine/leaving.rs
+++ b/crates/core/src/ownership/machine/leaving.rs
@@ -35,7 +35,7 @@
         let owed = self
             .controller
             .as_ref()
-            .is_some_and(|controller| controller.owes_moves(&self.config.member.node));
+            .is_some_and(|controller| controller.has_unfinished_moves(&self.config.member.node));
         let told = answered.is_some_and(|answered| answered > since);
         if self.holder.holds_any() || (owed && !abandoned) || !(told || abandoned) {
             return;
@@ -54,7 +54,7 @@
         for deputy in controller
             .term()
             .claim
-            .line
+            .controllers
             .iter()
             .skip(ballot.rank.0 as usize + 1)
         {
--- a/crates/core/src/ownership/machine/messages.rs
+++ b/crates/core/src/ownership/machine/messages.rs
@@ -116,10 +116,10 @@
             return;
         };
         if heartbeat.ballot < ballot {
-            controller.introduce(&context, &heartbeat.node, out);
+            controller.send_term(&context, &heartbeat.node, out);
             return;
         }
-        controller.take_heartbeat(&context, heartbeat, out);
+        controller.handle_heartbeat(&context, heartbeat, out);
     }
 
     fn take_acknowledgement(&mut self, message: &Acknowledgement, out: &mut Outbox) {
@@ -227,7 +227,7 @@
     pub(super) fn is_voter(&self) -> bool {
         let own = &self.config.member.node;
         let term = self.voter.term();
-        term.is_some_and(|term| term.quorums().iter().flatten().any(|voter| voter == own))
+        term.is_some_and(|term| term.voter_sets().iter().flatten().any(|voter| voter == own))
     }
 
     /// Splits the node into its controller and what that reads.
--- a/crates/core/src/ownership/machine/office.rs
+++ b/crates/core/src/ownership/machine/office.rs
@@ -51,9 +51,9 @@
             self.stand_down(reason, out);
             return;
         }
-        let owes = controller.owes_established(&context);
+        let owes = controller.needs_established_record(&context);
         let checkpoint = controller.due_checkpoint(&context);
-        let claim = controller.due_succession(&context);
+        let claim = controller.due_claim(&context);
         let term = controller.ballot().term;
         if owes && !self.appender.has(RecordKind::Established) {
             self.append(
@@ -82,7 +82,7 @@
     /// voters may have adopted a higher one in the meantime.
     pub(super) fn stand_down(&mut self, reason: StandDownReason, out: &mut Outbox) {
         if let Some(controller) = self.controller.take() {
-            controller.explain_end(reason, out);
+            controller.explain_stand_down(reason, out);
             self.appender.cancel(RecordKind::Checkpoint);
             self.appender.cancel(RecordKind::Established);
         }
@@ -146,7 +146,7 @@
         }
         let place = term
             .claim
-            .line
+            .controllers
             .iter()
             .position(|member| member.node == own.node)?;
         u32::try_from(place).ok().map(Rank)
--- a/crates/core/src/ownership/machine/outlook.rs
+++ b/crates/core/src/ownership/machine/outlook.rs
@@ -24,7 +24,9 @@
 
     /// Returns the controller and its deputies, who always follow the log.
     pub fn log_readers(&self) -> &[Member] {
-        self.voter.term().map_or(&[], |term| &term.claim.line)
+        self.voter
+            .term()
+            .map_or(&[], |term| &term.claim.controllers)
     }
 
     /// Returns the highest version of the intent that a controller told of.
--- a/crates/core/src/ownership/machine/reach.rs
+++ b/crates/core/src/ownership/machine/reach.rs
@@ -63,7 +63,7 @@
     /// needs, and probes the voters if it does not.
     pub(super) fn hears_voters(&mut self, now: Moment, term: &TermState, out: &mut Outbox) -> bool {
         let own = &self.config.member.node;
-        let quorums = term.quorums();
+        let quorums = term.voter_sets();
         if quorums
             .iter()
             .all(|voters| self.reach.covers(now, voters, own))
--- a/crates/core/src/ownership/machine/succession.rs
+++ b/crates/core/src/ownership/machine/succession.rs
@@ -29,9 +29,9 @@
     let line = compose_line(context, &ordered);
     Claim {
         term,
-        base,
-        through: context.log.next(),
-        line,
+        predecessor: base,
+        next_offset: context.log.next(),
+        controllers: line,
         voters: choose_voters(ordered),
         members,
         divisions: divisions.named_by(context),
--- a/crates/core/src/ownership/machine/voter.rs
+++ b/crates/core/src/ownership/machine/voter.rs
@@ -58,7 +58,7 @@
 
     /// Returns the controller that the node follows.
     pub(super) fn controller(&self) -> Option<&Member> {
-        self.term.as_ref()?.at_rank(self.adopted.rank)
+        self.term.as_ref()?.member_at(self.adopted.rank)
     }
 
     /// Returns when the adopted controller was last heard.
@@ -73,7 +73,7 @@
 
     /// Adopts a ballot if it is higher than every one before, and tells whether it was.
     pub(super) fn adopt(&mut self, now: Moment, ballot: Ballot, term: Arc<TermState>) -> bool {
-        if ballot <= self.adopted || term.at_rank(ballot.rank).is_none() {
+        if ballot <= self.adopted || term.member_at(ballot.rank).is_none() {
             return false;
         }
         self.adopted = ballot;
@@ -110,7 +110,7 @@
     }
 
     fn longest_wait(&self) -> Duration {
-        let wait = self.term.as_ref().map(|term| term.wait);
+        let wait = self.term.as_ref().map(|term| term.unreported_wait);
         let wait = wait.unwrap_or_else(|| LeaseTimes::default().full_wait());
         wait.as_duration()
     }
--- a/crates/core/src/ownership/record/checkpoint.rs
+++ b/crates/core/src/ownership/record/checkpoint.rs
@@ -13,7 +13,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Checkpoint {
     /// The state is that of all records before this offset.
-    pub through: Offset,
+    #[serde(rename = "through")]
+    pub next_offset: Offset,
     /// The term in force there.
     pub term: TermState,
 }
--- a/crates/core/src/ownership/record/claim.rs
+++ b/crates/core/src/ownership/record/claim.rs
@@ -17,11 +17,14 @@
     /// The claimed term.
     pub term: Term,
     /// The term it follows; none when the writer found no term in the whole retained log.
-    pub base: Option<Term>,
+    #[serde(rename = "base")]
+    pub predecessor: Option<Term>,
     /// Where the writer would have read next.
-    pub through: Offset,
+    #[serde(rename = "through")]
+    pub next_offset: Offset,
     /// The controller and its deputies in order, each in one named life.
-    pub line: Vec<Member>,
+    #[serde(rename = "line")]
+    pub controllers: Vec<Member>,
     /// The voters, an odd count, each in the life known to the writer.
     pub voters: Vec<Member>,
     /// Every node known to the writer.
--- a/crates/core/src/ownership/record/term_state.rs
+++ b/crates/core/src/ownership/record/term_state.rs
@@ -19,10 +19,12 @@
     /// The winning claim.
     pub claim: Claim,
     /// The voter sets of the terms from the last established one up to the one before.
-    pub earlier: Vec<Vec<NodeName>>,
+    #[serde(rename = "earlier")]
+    pub earlier_voters: Vec<Vec<NodeName>>,
     /// How long a slice waits that nobody reports, by the longest times of this and the earlier
     /// terms whose controllers may still believe.
-    pub wait: Milliseconds,
+    #[serde(rename = "wait")]
+    pub unreported_wait: Milliseconds,
     /// Whether a controller of this term reached its majority in all of them.
     pub established: bool,
 }
@@ -34,14 +36,14 @@
     }
 
     /// Returns the controller or deputy of a rank.
-    pub fn at_rank(&self, rank: Rank) -> Option<&Member> {
-        self.claim.line.get(rank.0 as usize)
+    pub fn member_at(&self, rank: Rank) -> Option<&Member> {
+        self.claim.controllers.get(rank.0 as usize)
     }
 
     /// Returns the rank of one life of a node in this term's line.
     pub fn rank_of(&self, node: &NodeName, life: Incarnation) -> Option<Rank> {
         let at = |member: &Member| member.node == *node && member.incarnation == life;
-        let place = self.claim.line.iter().position(at)?;
+        let place = self.claim.controllers.iter().position(at)?;
         u32::try_from(place).ok().map(Rank)
     }
 
@@ -60,23 +62,23 @@
     }
 
     /// Returns every voter set in which a controller of this term needs a majority.
-    pub fn quorums(&self) -> Vec<Vec<NodeName>> {
+    pub fn voter_sets(&self) -> Vec<Vec<NodeName>> {
         let own = self.voter_names();
         if self.established {
             return vec![own];
         }
-        let mut sets = self.earlier.clone();
+        let mut sets = self.earlier_voters.clone();
         sets.push(own);
         sets.dedup();
         sets
     }
 
     /// Returns how long the next term waits for what was granted under this one.
-    pub fn wait_after(&self) -> Milliseconds {
+    pub fn successor_wait(&self) -> Milliseconds {
         if self.established {
             return self.claim.times.full_wait();
         }
-        self.wait
+        self.unreported_wait
     }
 
     /// Tells whether no controller can have been before this term's.
--- a/crates/core/tests/ownership/support/cluster_view.rs
+++ b/crates/core/tests/ownership/support/cluster_view.rs
@@ -146,7 +146,7 @@
         let newest = claims.rev().max_by_key(|claim| claim.term).unwrap();
         let number = |address: std::net::SocketAddr| usize::from(address.port()) - 10_000;
         newest
-            .line
+            .controllers
             .iter()
             .map(|member| number(member.heartbeat))
             .collect()
