--- a/crates/core/src/ownership/event.rs
+++ b/crates/core/src/ownership/event.rs
@@ -13,7 +13,7 @@
 use crate::ids::RecordId;
 use crate::ids::SliceId;
 use crate::intent::InForce;
-use crate::traffic::TrafficMeasure;
+use crate::traffic::TrafficStats;
 
 /// Is one input of the ownership state machine.
 #[derive(Clone, Debug)]
@@ -68,7 +68,7 @@
         fence: Fence,
     },
     /// The traffic threads' own counts, about every 200 ms.
-    TrafficMeasured(TrafficMeasure),
+    TrafficMeasured(TrafficStats),
     /// The process was asked to leave.
     ShutdownRequested,
 }
--- a/crates/core/src/ownership/machine/holder/mod.rs
+++ b/crates/core/src/ownership/machine/holder/mod.rs
@@ -30,7 +30,7 @@
 use crate::ownership::OwnershipAction;
 use crate::ownership::SafetyRules;
 use crate::time::Moment;
-use crate::traffic::TrafficMeasure;
+use crate::traffic::TrafficStats;
 
 /// Holds the grants of this node and decides until when each may be used.
 #[derive(Debug)]
@@ -50,7 +50,7 @@
     profile: u64,
     known_profile: u64,
     leaving: bool,
-    load: Option<TrafficMeasure>,
+    load: Option<TrafficStats>,
     load_sent: Option<Moment>,
     published: LeaseTable,
 }
@@ -129,7 +129,7 @@
         self.next_beat = self.next_beat.min(now);
     }
 
-    pub(super) fn measure(&mut self, measure: TrafficMeasure) {
+    pub(super) fn measure(&mut self, measure: TrafficStats) {
         self.load = Some(measure);
     }
 
--- a/crates/core/src/traffic/admission/admission_machine.rs
+++ b/crates/core/src/traffic/admission/admission_machine.rs
@@ -5,13 +5,13 @@
 
 use super::AdmissionAction;
 use super::AdmissionEvent;
-use super::AttemptEnd;
-use super::Begun;
-use super::Limiter;
+use super::AdmissionRequest;
+use super::AdmittedRequest;
+use super::AttemptOutcome;
+use super::ConcurrencyLimiter;
 use super::ServerProfile;
 use super::Ticket;
-use super::WaitingLine;
-use super::Work;
+use super::WaitQueue;
 use crate::cluster::ServerState;
 use crate::document::spec::Priority;
 use crate::ids::SlotCount;
@@ -39,8 +39,8 @@
 #[derive(Clone, Debug)]
 pub struct Admission {
     server: Option<Server>,
-    line: WaitingLine,
-    running: BTreeMap<Ticket, Begun>,
+    line: WaitQueue,
+    running: BTreeMap<Ticket, AdmittedRequest>,
     /// The latencies of answers.
     answered: LatencyWindow,
     /// The same, with guesses for requests that were given up.
@@ -50,14 +50,14 @@
 #[derive(Clone, Debug)]
 struct Server {
     profile: ServerProfile,
-    limiter: Limiter,
+    limiter: ConcurrencyLimiter,
 }
 
 impl Default for Admission {
     fn default() -> Self {
         Self {
             server: None,
-            line: WaitingLine::default(),
+            line: WaitQueue::default(),
             running: BTreeMap::new(),
             answered: recent_latencies(),
             judged: recent_latencies(),
@@ -71,10 +71,10 @@
         let mut actions = Vec::new();
         match event {
             AdmissionEvent::Arrived(work) => self.arrive(now, work, &mut actions),
-            AdmissionEvent::Withdrawn(ticket) => self.line.remove(ticket),
-            AdmissionEvent::Ended { ticket, end } => self.end(now, ticket, end),
+            AdmissionEvent::Cancelled(ticket) => self.line.remove(ticket),
+            AdmissionEvent::Ended { ticket, outcome } => self.end(now, ticket, outcome),
             AdmissionEvent::ServerAnnounced(profile) => self.announce(profile),
-            AdmissionEvent::Returned => {
+            AdmissionEvent::ServerRestored => {
                 if let Some(server) = &mut self.server {
                     server.limiter.start_slowly();
                 }
@@ -122,7 +122,7 @@
         judged.max(age)
     }
 
-    fn arrive(&mut self, now: Moment, work: Work, actions: &mut Vec<AdmissionAction>) {
+    fn arrive(&mut self, now: Moment, work: AdmissionRequest, actions: &mut Vec<AdmissionAction>) {
         let Some(server) = &self.server else {
             actions.push(AdmissionAction::Refuse(work.ticket, RefusalCode::NotReady));
             return;
@@ -155,7 +155,7 @@
 
     /// Tells whether the work's turn would come too late; refusing it now lets its caller go
     /// elsewhere while there is time.
-    fn waits_too_long(&self, now: Moment, work: &Work) -> bool {
+    fn waits_too_long(&self, now: Moment, work: &AdmissionRequest) -> bool {
         let answer = self.answer_time();
         let limit = self.limit().0.max(1);
         if self.in_flight().0 < limit {
@@ -175,18 +175,18 @@
         }
     }
 
-    fn end(&mut self, now: Moment, ticket: Ticket, end: AttemptEnd) {
+    fn end(&mut self, now: Moment, ticket: Ticket, end: AttemptOutcome) {
         let busy = self.in_flight().0;
         // A ticket of the backend server's earlier life is not known any more.
         let Some(begun) = self.running.remove(&ticket) else {
             return;
         };
         match end {
-            AttemptEnd::Answered(latency) => {
+            AttemptOutcome::Answered(latency) => {
                 self.answered.record(now, latency);
                 self.judged.record(now, latency);
             }
-            AttemptEnd::Abandoned => self.record_given_up(now, now.since(begun.at)),
+            AttemptOutcome::Abandoned => self.record_given_up(now, now.since(begun.at)),
             _ => {}
         }
         if let Some(server) = &mut self.server {
@@ -213,7 +213,7 @@
                 self.running.clear();
                 self.answered = recent_latencies();
                 self.judged = recent_latencies();
-                let limiter = Limiter::new(&profile);
+                let limiter = ConcurrencyLimiter::new(&profile);
                 self.server = Some(Server { profile, limiter });
             }
         }
@@ -235,7 +235,7 @@
             let Some(work) = self.line.pop_first() else {
                 return;
             };
-            let begun = Begun {
+            let begun = AdmittedRequest {
                 route: work.route,
                 at: now,
                 busy: self.in_flight().0 + 1,
--- a/crates/core/src/traffic/admission/work.rs
+++ b/crates/core/src/traffic/admission/admission_request.rs
@@ -7,7 +7,7 @@
 
 /// Is what admission must know of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Work {
+pub struct AdmissionRequest {
     /// Its identity.
     pub ticket: Ticket,
     /// Its route, whose requests take about the same time.
--- a/crates/core/src/traffic/admission/begun.rs
+++ b/crates/core/src/traffic/admission/admitted_request.rs
@@ -5,7 +5,7 @@
 
 /// Says when a request was admitted, and how many were in flight with it then.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Begun {
+pub struct AdmittedRequest {
     /// Its route.
     pub route: RouteName,
     /// When it was admitted.
--- a/crates/core/src/traffic/admission/attempt_end.rs
+++ b/crates/core/src/traffic/admission/attempt_outcome.rs
@@ -4,7 +4,7 @@
 
 /// Says how the backend server ended an admitted request, as the node beside it saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptEnd {
+pub enum AttemptOutcome {
     /// It answered; the time is that from sending to the answer's beginning.
     Answered(Duration),
     /// It turned the request away without running it.
--- a/crates/core/src/traffic/admission/usual_latency.rs
+++ b/crates/core/src/traffic/admission/baseline_latency.rs
@@ -15,11 +15,11 @@
 /// Follows the usual latency by route: with one for all, a slow route in the mix would look like a
 /// slow backend server.
 #[derive(Clone, Debug, Default)]
-pub(super) struct UsualLatency {
+pub(super) struct BaselineLatency {
     seconds: BTreeMap<RouteName, f64>,
 }
 
-impl UsualLatency {
+impl BaselineLatency {
     /// Compares a latency with the usual one of its route; one while nothing is known.
     pub(super) fn ratio(&self, route: &RouteName, latency: Duration) -> f64 {
         let usual = self.seconds.get(route).copied();
--- a/crates/core/src/traffic/admission/limiter.rs
+++ b/crates/core/src/traffic/admission/concurrency_limiter.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use super::AttemptEnd;
-use super::Begun;
+use super::AdmittedRequest;
+use super::AttemptOutcome;
 use super::ServerProfile;
-use super::recent_ends::RecentEnds;
-use super::usual_latency::UsualLatency;
+use super::baseline_latency::BaselineLatency;
+use super::recent_outcomes::RecentOutcomes;
 use crate::cluster::ServerState;
 use crate::ids::SlotCount;
 use crate::time::Moment;
@@ -32,7 +32,7 @@
 /// backend server that turned cold without a word is slow as well. The two are told apart by a
 /// short test at the cold bound: there a cold one is quick again, and a straggler is not.
 #[derive(Clone, Debug)]
-pub struct Limiter {
+pub struct ConcurrencyLimiter {
     floor: f64,
     ceiling: f64,
     limit: f64,
@@ -41,8 +41,8 @@
     phase: Phase,
     cut: Moment,
     tested: Option<Moment>,
-    ends: RecentEnds,
-    usual: UsualLatency,
+    ends: RecentOutcomes,
+    usual: BaselineLatency,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -63,10 +63,10 @@
     },
 }
 
-impl Limiter {
+impl ConcurrencyLimiter {
     /// Starts in cold start: a node that has just met its backend server knows of no warmth.
     pub fn new(profile: &ServerProfile) -> Self {
-        let floor = f64::from(profile.cold.0);
+        let floor = f64::from(profile.cold_slots.0);
         Self {
             floor,
             ceiling: f64::from(profile.slots.0),
@@ -76,8 +76,8 @@
             phase: Self::first_phase(profile.state),
             cut: Moment::default(),
             tested: None,
-            ends: RecentEnds::default(),
-            usual: UsualLatency::default(),
+            ends: RecentOutcomes::default(),
+            usual: BaselineLatency::default(),
         }
     }
 
@@ -85,7 +85,7 @@
     pub fn announce(&mut self, profile: &ServerProfile) {
         let turned_cold = profile.state == ServerState::Cold && self.announced != ServerState::Cold;
         self.announced = profile.state;
-        self.floor = f64::from(profile.cold.0);
+        self.floor = f64::from(profile.cold_slots.0);
         self.ceiling = f64::from(profile.slots.0);
         self.limit = self.limit.clamp(self.floor, self.ceiling);
         self.warm_up = profile.warm_up;
@@ -95,21 +95,23 @@
     }
 
     /// Learns from the end of a request; `busy` is how many were in flight with it.
-    pub fn learn(&mut self, now: Moment, end: AttemptEnd, begun: &Begun, busy: u32) {
+    pub fn learn(&mut self, now: Moment, end: AttemptOutcome, begun: &AdmittedRequest, busy: u32) {
         let ratio = match end {
-            AttemptEnd::Answered(latency) => self.usual.ratio(&begun.route, latency),
+            AttemptOutcome::Answered(latency) => self.usual.ratio(&begun.route, latency),
             _ => 0.0,
         };
         self.ends.remember(now, end, ratio);
         match end {
-            AttemptEnd::Answered(_) if matches!(self.phase, Phase::Testing { .. }) => {
+            AttemptOutcome::Answered(_) if matches!(self.phase, Phase::Testing { .. }) => {
                 self.judge_test(now, ratio, begun);
             }
-            AttemptEnd::Answered(latency) => self.learn_answer(now, latency, begun, busy),
-            AttemptEnd::Shed | AttemptEnd::Lost | AttemptEnd::Failed => self.fall(now, end),
+            AttemptOutcome::Answered(latency) => self.learn_answer(now, latency, begun, busy),
+            AttemptOutcome::Shed | AttemptOutcome::Lost | AttemptOutcome::Failed => {
+                self.fall(now, end)
+            }
             // A backend server that takes no connections is starting anew, and cold.
-            AttemptEnd::Unreachable => self.enter_cold(),
-            AttemptEnd::Abandoned => {
+            AttemptOutcome::Unreachable => self.enter_cold(),
+            AttemptOutcome::Abandoned => {
                 // It was given up, so at least this much time had passed.
                 let ratio = self.usual.ratio(&begun.route, now.since(begun.at));
                 if ratio > TEST_LATENCY {
@@ -158,7 +160,7 @@
         self.ends.clear();
     }
 
-    fn learn_answer(&mut self, now: Moment, latency: Duration, begun: &Begun, busy: u32) {
+    fn learn_answer(&mut self, now: Moment, latency: Duration, begun: &AdmittedRequest, busy: u32) {
         self.usual.learn(&begun.route, latency);
         if self.looks_slow(now) {
             self.phase = Phase::Testing {
@@ -173,7 +175,7 @@
         self.grow(now, busy);
     }
 
-    fn judge_test(&mut self, now: Moment, ratio: f64, begun: &Begun) {
+    fn judge_test(&mut self, now: Moment, ratio: f64, begun: &AdmittedRequest) {
         let Phase::Testing {
             since,
             before,
@@ -229,7 +231,7 @@
         }
     }
 
-    fn fall(&mut self, now: Moment, end: AttemptEnd) {
+    fn fall(&mut self, now: Moment, end: AttemptOutcome) {
         // A backend server that turns cold without a word bears the floor and fails above it. The
         // callers would see refusals and failures until its report catches up; its neighbour sees
         // the first few and goes down to the floor at once.
@@ -237,7 +239,7 @@
             self.enter_cold();
             return;
         }
-        if end != AttemptEnd::Shed || now.since(self.cut) < CUT_PAUSE {
+        if end != AttemptOutcome::Shed || now.since(self.cut) < CUT_PAUSE {
             return;
         }
         self.cut = now;
--- a/crates/core/src/traffic/admission/recent_ends.rs
+++ b/crates/core/src/traffic/admission/recent_outcomes.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use super::AttemptEnd;
-use super::usual_latency::FAR_SLOWER;
+use super::AttemptOutcome;
+use super::baseline_latency::FAR_SLOWER;
 use crate::time::Moment;
 
 /// How many of the latest ends are looked at.
@@ -18,7 +18,7 @@
 
 /// Remembers how the latest requests ended.
 #[derive(Clone, Debug, Default)]
-pub(super) struct RecentEnds {
+pub(super) struct RecentOutcomes {
     ends: VecDeque<Sign>,
 }
 
@@ -31,10 +31,10 @@
     ratio: f64,
 }
 
-impl RecentEnds {
+impl RecentOutcomes {
     /// Remembers an end; one that was given up says nothing.
-    pub(super) fn remember(&mut self, now: Moment, end: AttemptEnd, ratio: f64) {
-        if end == AttemptEnd::Abandoned {
+    pub(super) fn remember(&mut self, now: Moment, end: AttemptOutcome, ratio: f64) {
+        if end == AttemptOutcome::Abandoned {
             return;
         }
         if self.ends.len() == KEPT {
@@ -42,11 +42,11 @@
         }
         let refused = matches!(
             end,
-            AttemptEnd::Shed | AttemptEnd::Lost | AttemptEnd::Unreachable
+            AttemptOutcome::Shed | AttemptOutcome::Lost | AttemptOutcome::Unreachable
         );
         self.ends.push_back(Sign {
             at: now,
-            distress: !matches!(end, AttemptEnd::Answered(_)),
+            distress: !matches!(end, AttemptOutcome::Answered(_)),
             refused,
             ratio,
         });
--- a/crates/core/src/traffic/admission/server_profile.rs
+++ b/crates/core/src/traffic/admission/server_profile.rs
@@ -18,7 +18,7 @@
     /// How many requests it works on at once when warm.
     pub slots: SlotCount,
     /// How many it bears in cold start.
-    pub cold: SlotCount,
+    pub cold_slots: SlotCount,
     /// How long it takes to warm up under that load.
     pub warm_up: Duration,
 }
@@ -32,7 +32,7 @@
             incarnation: announcement.incarnation,
             state: announcement.state,
             slots,
-            cold: service.cold_slots.clamp(SlotCount(1), slots),
+            cold_slots: service.cold_slots.clamp(SlotCount(1), slots),
             warm_up: service.warm_up_ms.as_duration(),
         }
     }
--- a/crates/core/src/traffic/admission/waiting_line.rs
+++ b/crates/core/src/traffic/admission/wait_queue.rs
@@ -4,15 +4,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use super::AdmissionRequest;
 use super::Ticket;
-use super::Work;
 use crate::document::spec::Priority;
 use crate::time::Moment;
 
 /// Orders waiting requests by priority, then by deadline.
 #[derive(Clone, Debug, Default)]
-pub struct WaitingLine {
-    places: BTreeMap<Place, Work>,
+pub struct WaitQueue {
+    places: BTreeMap<Place, AdmissionRequest>,
 }
 
 /// A place in the line; the smallest is served first.
@@ -23,19 +23,19 @@
     ticket: Ticket,
 }
 
-impl WaitingLine {
+impl WaitQueue {
     /// Adds a request.
-    pub fn insert(&mut self, work: Work) {
+    pub fn insert(&mut self, work: AdmissionRequest) {
         self.places.insert(Place::of(&work), work);
     }
 
     /// Takes the first request out.
-    pub fn pop_first(&mut self) -> Option<Work> {
+    pub fn pop_first(&mut self) -> Option<AdmissionRequest> {
         self.places.pop_first().map(|(_, work)| work)
     }
 
     /// Takes the last request out.
-    pub fn pop_last(&mut self) -> Option<Work> {
+    pub fn pop_last(&mut self) -> Option<AdmissionRequest> {
         self.places.pop_last().map(|(_, work)| work)
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// Returns how many requests would be served before `work`.
-    pub fn ahead_of(&self, work: &Work) -> usize {
+    pub fn ahead_of(&self, work: &AdmissionRequest) -> usize {
         self.places.range(..Place::of(work)).count()
     }
 
@@ -76,7 +76,7 @@
 }
 
 impl Place {
-    fn of(work: &Work) -> Self {
+    fn of(work: &AdmissionRequest) -> Self {
         Self {
             priority: Reverse(work.priority),
             deadline: work.deadline,
--- a/crates/core/src/traffic/choice/choice_policy.rs
+++ b/crates/core/src/traffic/balancing/balancing_policy.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ChoicePolicy {
+pub enum BalancingPolicy {
     /// The cheaper of two by load share, recent latency and zone, stragglers set aside.
     #[default]
     Default,
--- a/crates/core/src/traffic/choice/chosen_nodes.rs
+++ b/crates/core/src/traffic/balancing/chosen_nodes.rs
@@ -9,5 +9,5 @@
     pub node: NodeName,
     /// A straggler that gets the same request at the same time, only to be measured: a caller must
     /// not wait for a node that is known to be slow.
-    pub measured: Option<NodeName>,
+    pub probe: Option<NodeName>,
 }
--- a/crates/core/src/traffic/choice/chooser.rs
+++ b/crates/core/src/traffic/balancing/load_balancer.rs
@@ -7,10 +7,10 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use super::ChoicePolicy;
+use super::BalancingPolicy;
 use super::ChosenNodes;
 use super::NodeLoad;
-use super::peer::Peer;
+use super::peer_stats::PeerStats;
 use crate::cluster::RoutingNode;
 use crate::ids::NodeName;
 use crate::ids::ZoneName;
@@ -31,10 +31,10 @@
 
 /// Chooses the node for each request that any backend server of a service may answer.
 #[derive(Clone, Debug)]
-pub struct Chooser {
+pub struct LoadBalancer {
     zone: ZoneName,
-    policy: ChoicePolicy,
-    peers: BTreeMap<NodeName, Peer>,
+    policy: BalancingPolicy,
+    peers: BTreeMap<NodeName, PeerStats>,
     turn: usize,
     random: ChaCha8Rng,
 }
@@ -48,9 +48,9 @@
 #[derive(Clone, Copy, Debug)]
 struct Median(f64);
 
-impl Chooser {
+impl LoadBalancer {
     /// Makes a chooser for an ingress in `zone`; equal seeds make equal choices.
-    pub fn new(zone: ZoneName, policy: ChoicePolicy, seed: u64) -> Self {
+    pub fn new(zone: ZoneName, policy: BalancingPolicy, seed: u64) -> Self {
         Self {
             zone,
             policy,
@@ -67,35 +67,41 @@
         }
         let rated: Vec<Rated<'_>> = nodes.iter().map(|node| self.rate(now, node)).collect();
         let place = match self.policy {
-            ChoicePolicy::Default => return self.choose_cheap(now, &rated),
-            ChoicePolicy::Random => self.random.random_range(0..rated.len()),
-            ChoicePolicy::RoundRobin => {
+            BalancingPolicy::Default => return self.choose_cheap(now, &rated),
+            BalancingPolicy::Random => self.random.random_range(0..rated.len()),
+            BalancingPolicy::RoundRobin => {
                 self.turn = self.turn.wrapping_add(1);
                 self.turn % rated.len()
             }
-            ChoicePolicy::LeastRequest => self.least_loaded(&rated),
+            BalancingPolicy::LeastRequest => self.least_loaded(&rated),
         };
         rated.get(place).map(Rated::alone)
     }
 
     /// Counts a request sent to a node.
-    pub fn sent(&mut self, node: &NodeName) {
-        self.peers.entry(node.clone()).or_default().sent();
+    pub fn record_sent(&mut self, node: &NodeName) {
+        self.peers.entry(node.clone()).or_default().record_sent();
     }
 
     /// Counts the end of a request sent to a node.
-    pub fn ended(&mut self, node: &NodeName) {
-        self.peers.entry(node.clone()).or_default().ended();
+    pub fn record_ended(&mut self, node: &NodeName) {
+        self.peers.entry(node.clone()).or_default().record_ended();
     }
 
     /// Learns that an attempt at a node was given up because another node was quicker.
-    pub fn given_up(&mut self, node: &NodeName) {
-        self.peers.entry(node.clone()).or_default().given_up();
+    pub fn record_abandoned(&mut self, node: &NodeName) {
+        self.peers
+            .entry(node.clone())
+            .or_default()
+            .record_abandoned();
     }
 
     /// Learns the load that a node reported on an answer.
-    pub fn learn(&mut self, now: Moment, node: &NodeName, load: NodeLoad) {
-        self.peers.entry(node.clone()).or_default().learn(now, load);
+    pub fn record_load(&mut self, now: Moment, node: &NodeName, load: NodeLoad) {
+        self.peers
+            .entry(node.clone())
+            .or_default()
+            .record_load(now, load);
     }
 
     fn rate<'a>(&mut self, now: Moment, node: &'a RoutingNode) -> Rated<'a> {
@@ -114,9 +120,9 @@
         if good.is_empty() {
             return self.cheapest(now, &slow, median).map(Rated::alone);
         }
-        let measured = self.due_straggler(now, &slow).map(Rated::name);
+        let probe = self.due_straggler(now, &slow).map(Rated::name);
         let node = self.cheapest(now, &good, median)?.name();
-        Some(ChosenNodes { node, measured })
+        Some(ChosenNodes { node, probe })
     }
 
     /// Judges every node by the median of all, so that a backend server which is slow although its
@@ -131,7 +137,7 @@
 
     fn is_straggler(&self, rated: &Rated<'_>) -> bool {
         let peer = self.peers.get(&rated.node.member.node);
-        peer.is_some_and(Peer::is_straggler)
+        peer.is_some_and(PeerStats::is_straggler)
     }
 
     /// Returns the straggler to be measured with this request, if one is due.
@@ -219,7 +225,7 @@
     fn alone(&self) -> ChosenNodes {
         ChosenNodes {
             node: self.name(),
-            measured: None,
+            probe: None,
         }
     }
 
--- a/crates/core/src/traffic/choice/mod.rs
+++ b/crates/core/src/traffic/balancing/mod.rs
@@ -1,13 +1,13 @@
 //! Choosing a node for requests that any backend server of a service may answer.
 
-mod choice_policy;
-mod chooser;
+mod balancing_policy;
 mod chosen_nodes;
+mod load_balancer;
 mod node_load;
-mod peer;
+mod peer_stats;
 
-pub use choice_policy::ChoicePolicy;
-pub use chooser::Chooser;
+pub use balancing_policy::BalancingPolicy;
 pub use chosen_nodes::ChosenNodes;
+pub use load_balancer::LoadBalancer;
 pub use node_load::NodeLoad;
 pub use node_load::ParseNodeLoadError;
--- a/crates/core/src/traffic/choice/peer.rs
+++ b/crates/core/src/traffic/balancing/peer_stats.rs
@@ -25,7 +25,7 @@
 /// Keeps the freshest load of a node, the requests that this ingress has there, and how much the
 /// node is trusted after it was a straggler.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Peer {
+pub(super) struct PeerStats {
     outstanding: u32,
     report: Option<Report>,
     standing: Standing,
@@ -49,20 +49,20 @@
     Returning(Moment),
 }
 
-impl Peer {
-    pub(super) fn sent(&mut self) {
+impl PeerStats {
+    pub(super) fn record_sent(&mut self) {
         self.outstanding += 1;
     }
 
-    pub(super) fn ended(&mut self) {
+    pub(super) fn record_ended(&mut self) {
         self.outstanding = self.outstanding.saturating_sub(1);
     }
 
-    pub(super) fn given_up(&mut self) {
+    pub(super) fn record_abandoned(&mut self) {
         self.missed += 1;
     }
 
-    pub(super) fn learn(&mut self, at: Moment, load: NodeLoad) {
+    pub(super) fn record_load(&mut self, at: Moment, load: NodeLoad) {
         self.missed = 0;
         self.report = Some(Report {
             at,
--- a/crates/core/src/traffic/gate/work_end.rs
+++ b/crates/core/src/traffic/idempotency/execution_outcome.rs
@@ -1,14 +1,14 @@
 //! How work that must not repeat ended.
 
-use super::KeptAnswer;
+use super::StoredResponse;
 
 /// Is the end of an attempt at work that must not repeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum WorkEnd {
+pub enum ExecutionOutcome {
     /// It surely did not run, so that its key may run later.
     NotRun,
     /// It ran, and this is its answer.
-    Answered(KeptAnswer),
+    Answered(StoredResponse),
     /// It ran, and its answer is larger than the gate keeps.
     TooLarge,
     /// It ran and failed.
--- a/crates/core/src/traffic/gate/gate_settings.rs
+++ b/crates/core/src/traffic/idempotency/idempotency_settings.rs
@@ -4,27 +4,27 @@
 
 /// Bounds what the gate remembers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GateSettings {
+pub struct IdempotencySettings {
     /// How long a key is remembered, counted from the time in the key.
-    pub window: Duration,
+    pub retention: Duration,
     /// How many bytes all kept outcomes together may take.
-    pub memory: usize,
+    pub memory_limit: usize,
     /// How large one kept answer may be, in bytes.
-    pub answer: usize,
+    pub response_limit: usize,
     /// How far ahead of the node's calendar clock the time in a key may be.
-    pub ahead: Duration,
+    pub max_ahead: Duration,
     /// How far the calendar clocks of two nodes may differ.
-    pub drift: Duration,
+    pub clock_drift: Duration,
 }
 
-impl Default for GateSettings {
+impl Default for IdempotencySettings {
     fn default() -> Self {
         Self {
-            window: Duration::from_secs(15 * 60),
-            memory: 8 * 1024 * 1024,
-            answer: 64 * 1024,
-            ahead: Duration::from_millis(500),
-            drift: Duration::from_millis(500),
+            retention: Duration::from_secs(15 * 60),
+            memory_limit: 8 * 1024 * 1024,
+            response_limit: 64 * 1024,
+            max_ahead: Duration::from_millis(500),
+            clock_drift: Duration::from_millis(500),
         }
     }
 }
--- a/crates/core/src/traffic/gate/slice_memory.rs
+++ b/crates/core/src/traffic/idempotency/idempotency_state.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::KeptOutcome;
+use super::KeyOutcome;
 use super::RequestDigest;
 use crate::ids::IdempotencyKey;
 use crate::time::WallTime;
@@ -16,7 +16,7 @@
 /// Remembers every key of one slice that was sent since `floor`; of older keys nothing is known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct SliceMemory {
+pub struct IdempotencyState {
     floor: WallTime,
     entries: BTreeMap<IdempotencyKey, Entry>,
     size: usize,
@@ -26,20 +26,20 @@
 #[derive(Serialize, Deserialize)]
 struct Entry {
     digest: RequestDigest,
-    outcome: KeptOutcome,
+    outcome: KeyOutcome,
 }
 
 /// Says that bytes are no memory of a slice.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 #[error("not the memory of a slice")]
-pub struct DecodeMemoryError(
+pub struct DecodeStateError(
     /// What the codec said.
     #[from]
     postcard::Error,
 );
 
-impl SliceMemory {
+impl IdempotencyState {
     /// Starts a memory that knows nothing of keys made before `floor`.
     pub fn new(floor: WallTime) -> Self {
         Self {
@@ -50,16 +50,16 @@
     }
 
     /// Reads what [`Self::encode`] wrote.
-    pub fn decode(bytes: &[u8]) -> Result<Self, DecodeMemoryError> {
+    pub fn decode(bytes: &[u8]) -> Result<Self, DecodeStateError> {
         Ok(postcard::from_bytes(bytes)?)
     }
 
     /// Writes the memory for the slice's next owner. Work that is still running may or may not
     /// run to its end, so the next owner gets it as unknown.
-    pub fn encode(mut self) -> Result<Vec<u8>, DecodeMemoryError> {
+    pub fn encode(mut self) -> Result<Vec<u8>, DecodeStateError> {
         for entry in self.entries.values_mut() {
-            if entry.outcome == KeptOutcome::Running {
-                entry.outcome = KeptOutcome::Unknown;
+            if entry.outcome == KeyOutcome::Running {
+                entry.outcome = KeyOutcome::Unknown;
             }
         }
         Ok(postcard::to_stdvec(&self)?)
@@ -71,19 +71,19 @@
     }
 
     /// Returns what is known of a key.
-    pub fn get(&self, key: IdempotencyKey) -> Option<(RequestDigest, &KeptOutcome)> {
+    pub fn get(&self, key: IdempotencyKey) -> Option<(RequestDigest, &KeyOutcome)> {
         let entry = self.entries.get(&key)?;
         Some((entry.digest, &entry.outcome))
     }
 
     /// Records a key as running.
     pub fn start(&mut self, key: IdempotencyKey, digest: RequestDigest) {
-        let outcome = KeptOutcome::Running;
+        let outcome = KeyOutcome::Running;
         self.insert(key, Entry { digest, outcome });
     }
 
     /// Records what became of a key, if the key is still remembered.
-    pub fn end(&mut self, key: IdempotencyKey, outcome: KeptOutcome) {
+    pub fn end(&mut self, key: IdempotencyKey, outcome: KeyOutcome) {
         if let Some(entry) = self.entries.get(&key) {
             let digest = entry.digest;
             self.insert(key, Entry { digest, outcome });
@@ -130,7 +130,7 @@
 impl Entry {
     fn size(&self) -> usize {
         let kept = match &self.outcome {
-            KeptOutcome::Answered(answer) => answer.size(),
+            KeyOutcome::Answered(answer) => answer.size(),
             _ => 0,
         };
         ENTRY_SIZE + kept
--- a/crates/core/src/traffic/gate/gate_machine.rs
+++ b/crates/core/src/traffic/idempotency/idempotency_store.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::GateDecision;
-use super::GateSettings;
-use super::KeptOutcome;
+use super::ExecutionOutcome;
+use super::IdempotencyDecision;
+use super::IdempotencySettings;
+use super::IdempotencyState;
+use super::KeyOutcome;
 use super::RequestDigest;
-use super::SliceMemory;
-use super::WorkEnd;
-use super::slice_memory::key_time;
+use super::idempotency_state::key_time;
 use crate::ids::Fence;
 use crate::ids::IdempotencyKey;
 use crate::ids::SliceId;
@@ -22,21 +22,21 @@
 /// came by the time in the key: a key older than the memory of its slice gets "outcome unknown",
 /// never a run.
 #[derive(Clone, Debug)]
-pub struct Gate {
-    settings: GateSettings,
-    slices: BTreeMap<SliceId, Guarded>,
+pub struct IdempotencyStore {
+    settings: IdempotencySettings,
+    slices: BTreeMap<SliceId, SliceEntry>,
     size: usize,
 }
 
 #[derive(Clone, Debug)]
-struct Guarded {
+struct SliceEntry {
     fence: Fence,
-    memory: SliceMemory,
+    memory: IdempotencyState,
 }
 
-impl Gate {
+impl IdempotencyStore {
     /// Makes a gate that guards no slice yet.
-    pub fn new(settings: GateSettings) -> Self {
+    pub fn new(settings: IdempotencySettings) -> Self {
         Self {
             settings,
             slices: BTreeMap::new(),
@@ -46,19 +46,22 @@
 
     /// Starts to guard a slice under a new grant, with the memory handed over by the previous
     /// owner or with an empty one.
-    pub fn prepare(
+    pub fn add_slice(
         &mut self,
         now: WallTime,
         slice: &SliceId,
         fence: Fence,
-        handed: Option<SliceMemory>,
+        handed: Option<IdempotencyState>,
     ) {
         // The lost owner took keys up to `ahead` of its clock, which may differ from this one by
         // `drift`; without this allowance such a key would pass as new and run twice.
-        let unknown = add(now, self.settings.ahead + self.settings.drift);
-        let memory = handed.unwrap_or_else(|| SliceMemory::new(unknown));
+        let unknown = add(now, self.settings.max_ahead + self.settings.clock_drift);
+        let memory = handed.unwrap_or_else(|| IdempotencyState::new(unknown));
         self.size += memory.size();
-        if let Some(old) = self.slices.insert(slice.clone(), Guarded { fence, memory }) {
+        if let Some(old) = self
+            .slices
+            .insert(slice.clone(), SliceEntry { fence, memory })
+        {
             self.size -= old.memory.size();
         }
         self.fit(now);
@@ -72,46 +75,52 @@
         fence: Fence,
         key: IdempotencyKey,
         digest: RequestDigest,
-    ) -> GateDecision {
+    ) -> IdempotencyDecision {
         let Some(time) = key_time(key) else {
-            return GateDecision::Refuse(RefusalCode::KeyRequired);
+            return IdempotencyDecision::Refuse(RefusalCode::KeyRequired);
         };
         self.fit(now);
         let Some(guarded) = self.guarded(slice, fence) else {
-            return GateDecision::Refuse(RefusalCode::NotOwner);
+            return IdempotencyDecision::Refuse(RefusalCode::NotOwner);
         };
         if let Some((known, outcome)) = guarded.memory.get(key) {
             return Self::repeat(known == digest, outcome);
         }
         if time < guarded.memory.floor() {
-            return GateDecision::Refuse(RefusalCode::OutcomeUnknown);
+            return IdempotencyDecision::Refuse(RefusalCode::OutcomeUnknown);
         }
-        if time > add(now, self.settings.ahead) {
-            return GateDecision::Refuse(RefusalCode::KeyAhead);
+        if time > add(now, self.settings.max_ahead) {
+            return IdempotencyDecision::Refuse(RefusalCode::KeyAhead);
         }
         self.change(slice, fence, |memory| memory.start(key, digest));
-        GateDecision::Run
+        IdempotencyDecision::Run
     }
 
     /// Records how the work of a key ended.
-    pub fn finish(&mut self, slice: &SliceId, fence: Fence, key: IdempotencyKey, end: WorkEnd) {
-        let limit = self.settings.answer;
+    pub fn finish(
+        &mut self,
+        slice: &SliceId,
+        fence: Fence,
+        key: IdempotencyKey,
+        end: ExecutionOutcome,
+    ) {
+        let limit = self.settings.response_limit;
         let outcome = match end {
-            WorkEnd::NotRun => {
+            ExecutionOutcome::NotRun => {
                 self.change(slice, fence, |memory| memory.remove(key));
                 return;
             }
-            WorkEnd::Answered(answer) if answer.size() > limit => KeptOutcome::TooLarge,
-            WorkEnd::Answered(answer) => KeptOutcome::Answered(answer),
-            WorkEnd::TooLarge => KeptOutcome::TooLarge,
-            WorkEnd::Failed => KeptOutcome::Failed,
-            WorkEnd::Unknown => KeptOutcome::Unknown,
+            ExecutionOutcome::Answered(answer) if answer.size() > limit => KeyOutcome::TooLarge,
+            ExecutionOutcome::Answered(answer) => KeyOutcome::Answered(answer),
+            ExecutionOutcome::TooLarge => KeyOutcome::TooLarge,
+            ExecutionOutcome::Failed => KeyOutcome::Failed,
+            ExecutionOutcome::Unknown => KeyOutcome::Unknown,
         };
         self.change(slice, fence, |memory| memory.end(key, outcome));
     }
 
     /// Stops guarding a slice and returns its memory for the next owner.
-    pub fn release(&mut self, slice: &SliceId, fence: Fence) -> Option<SliceMemory> {
+    pub fn remove_slice(&mut self, slice: &SliceId, fence: Fence) -> Option<IdempotencyState> {
         self.guarded(slice, fence)?;
         let guarded = self.slices.remove(slice)?;
         self.size -= guarded.memory.size();
@@ -124,31 +133,31 @@
     }
 
     /// Returns how large an answer may be to be kept, in bytes.
-    pub fn answer_limit(&self) -> usize {
-        self.settings.answer
+    pub fn response_limit(&self) -> usize {
+        self.settings.response_limit
     }
 
-    fn repeat(same: bool, outcome: &KeptOutcome) -> GateDecision {
+    fn repeat(same: bool, outcome: &KeyOutcome) -> IdempotencyDecision {
         if !same {
-            return GateDecision::Refuse(RefusalCode::KeyReused);
+            return IdempotencyDecision::Refuse(RefusalCode::KeyReused);
         }
         match outcome {
-            KeptOutcome::Running => GateDecision::Refuse(RefusalCode::StillRunning),
-            KeptOutcome::Answered(answer) => GateDecision::Repeat(answer.clone()),
-            KeptOutcome::TooLarge => GateDecision::Refuse(RefusalCode::OutcomeNotKept),
-            KeptOutcome::Failed => GateDecision::Refuse(RefusalCode::ServerFailed),
-            KeptOutcome::Unknown => GateDecision::Refuse(RefusalCode::OutcomeUnknown),
+            KeyOutcome::Running => IdempotencyDecision::Refuse(RefusalCode::StillRunning),
+            KeyOutcome::Answered(answer) => IdempotencyDecision::Replay(answer.clone()),
+            KeyOutcome::TooLarge => IdempotencyDecision::Refuse(RefusalCode::OutcomeNotKept),
+            KeyOutcome::Failed => IdempotencyDecision::Refuse(RefusalCode::ServerFailed),
+            KeyOutcome::Unknown => IdempotencyDecision::Refuse(RefusalCode::OutcomeUnknown),
         }
     }
 
-    fn guarded(&self, slice: &SliceId, fence: Fence) -> Option<&Guarded> {
+    fn guarded(&self, slice: &SliceId, fence: Fence) -> Option<&SliceEntry> {
         let guarded = self.slices.get(slice)?;
         (guarded.fence == fence).then_some(guarded)
     }
 
     fn change<F>(&mut self, slice: &SliceId, fence: Fence, change: F)
     where
-        F: FnOnce(&mut SliceMemory),
+        F: FnOnce(&mut IdempotencyState),
     {
         let Some(guarded) = self.slices.get_mut(slice) else {
             return;
@@ -164,14 +173,14 @@
     /// Forgets what is past the window, and the oldest of the rest until all fits the memory. The
     /// floor rises with it, so that a forgotten key is refused and never runs again.
     fn fit(&mut self, now: WallTime) {
-        let window = u64::try_from(self.settings.window.as_millis()).unwrap_or(u64::MAX);
+        let window = u64::try_from(self.settings.retention.as_millis()).unwrap_or(u64::MAX);
         let past = WallTime(now.0.saturating_sub(window));
         for guarded in self.slices.values_mut() {
             self.size -= guarded.memory.size();
             guarded.memory.raise_floor(past);
             self.size += guarded.memory.size();
         }
-        while self.size > self.settings.memory {
+        while self.size > self.settings.memory_limit {
             let oldest = self
                 .slices
                 .values_mut()
--- a/crates/core/src/traffic/gate/kept_outcome.rs
+++ b/crates/core/src/traffic/idempotency/key_outcome.rs
@@ -3,16 +3,16 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::KeptAnswer;
+use super::StoredResponse;
 
 /// Is what became of the work of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub enum KeptOutcome {
+pub enum KeyOutcome {
     /// It was sent and has not ended.
     Running,
     /// It ran, and this is its answer.
-    Answered(KeptAnswer),
+    Answered(StoredResponse),
     /// It ran, and its answer was too large to keep.
     TooLarge,
     /// It ran and failed.
--- a/crates/core/src/traffic/gate/kept_header.rs
+++ b/crates/core/src/traffic/idempotency/stored_header.rs
@@ -6,7 +6,7 @@
 /// Is one header of a kept answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct KeptHeader {
+pub struct StoredHeader {
     /// Its name.
     pub name: String,
     /// Its value, as sent.
--- a/crates/core/src/traffic/gate/kept_answer.rs
+++ b/crates/core/src/traffic/idempotency/stored_response.rs
@@ -4,21 +4,21 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::KeptHeader;
+use super::StoredHeader;
 
 /// Is the whole answer of a backend server, returned again to every repeat of its request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct KeptAnswer {
+pub struct StoredResponse {
     /// The HTTP status.
     pub status: u16,
     /// The headers that belong to the answer and not to a hop.
-    pub headers: Vec<KeptHeader>,
+    pub headers: Vec<StoredHeader>,
     /// The body.
     pub body: Bytes,
 }
 
-impl KeptAnswer {
+impl StoredResponse {
     /// Returns about how many bytes of memory the answer takes.
     pub fn size(&self) -> usize {
         let headers: usize = self
--- a/crates/core/src/traffic/mod.rs
+++ b/crates/core/src/traffic/mod.rs
@@ -1,16 +1,16 @@
 //! Decisions on the path of a request.
 
 pub mod admission;
-pub mod choice;
-pub mod gate;
+pub mod balancing;
+pub mod idempotency;
 pub mod refusal;
 pub mod retry;
 pub mod routes;
 
 mod key_load;
 mod slice_load;
-mod traffic_measure;
+mod traffic_stats;
 
 pub use key_load::KeyLoad;
 pub use slice_load::SliceLoad;
-pub use traffic_measure::TrafficMeasure;
+pub use traffic_stats::TrafficStats;
--- a/crates/core/src/traffic/refusal/refusal_code.rs
+++ b/crates/core/src/traffic/refusal/refusal_code.rs
@@ -177,7 +177,7 @@
 
     /// Tells whether the caller's request itself is wrong, so that no backend server could have
     /// answered it; such a refusal breaks no promise and spends no error budget.
-    pub fn is_callers_fault(self) -> bool {
+    pub fn is_client_error(self) -> bool {
         matches!(
             self,
             Self::NoRoute
@@ -194,7 +194,7 @@
     }
 
     /// Tells whether the same request may well be answered a little later or elsewhere.
-    pub fn is_passing(self) -> bool {
+    pub fn is_transient(self) -> bool {
         matches!(
             self,
             Self::NotReady
--- a/crates/core/src/traffic/retry/hedge_policy.rs
+++ b/crates/core/src/traffic/retry/hedge_policy.rs
@@ -37,7 +37,7 @@
     }
 
     /// Returns the wait before a second attempt; none while too little is known.
-    pub fn wait(&self) -> Option<Duration> {
+    pub fn delay(&self) -> Option<Duration> {
         if self.latencies.len() < ENOUGH {
             return None;
         }
--- a/crates/core/src/traffic/traffic_measure.rs
+++ b/crates/core/src/traffic/traffic_stats.rs
@@ -8,7 +8,7 @@
 /// Is what a node's traffic threads counted themselves, as opposed to what the backend server
 /// reports; it is exact and current.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TrafficMeasure {
+pub struct TrafficStats {
     /// The current limit of concurrent requests.
     pub limit: SlotCount,
     /// Requests in flight to the backend server.
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -107,7 +107,7 @@
         .map(|_| bench.arrive(Priority::High, Duration::from_secs(1)))
         .collect();
     assert_eq!(bench.admission.waiting(), 2);
-    bench.step(AdmissionEvent::Withdrawn(tickets[2]));
+    bench.step(AdmissionEvent::Cancelled(tickets[2]));
     bench.pass(Duration::from_millis(20), 0);
     assert!(!bench.admitted.contains(&tickets[2]));
     assert!(bench.admitted.contains(&tickets[3]));
--- a/crates/core/tests/admission_bench/mod.rs
+++ b/crates/core/tests/admission_bench/mod.rs
@@ -13,10 +13,10 @@
 use quetzalrack_core::traffic::admission::Admission;
 use quetzalrack_core::traffic::admission::AdmissionAction;
 use quetzalrack_core::traffic::admission::AdmissionEvent;
-use quetzalrack_core::traffic::admission::AttemptEnd;
+use quetzalrack_core::traffic::admission::AdmissionRequest;
+use quetzalrack_core::traffic::admission::AttemptOutcome;
 use quetzalrack_core::traffic::admission::ServerProfile;
 use quetzalrack_core::traffic::admission::Ticket;
-use quetzalrack_core::traffic::admission::Work;
 use quetzalrack_core::traffic::refusal::RefusalCode;
 
 /// The slots of the backend server.
@@ -33,7 +33,7 @@
     pub admission: Admission,
     pub now: Moment,
     pub next: u64,
-    pub running: VecDeque<(Ticket, Moment, AttemptEnd)>,
+    pub running: VecDeque<(Ticket, Moment, AttemptOutcome)>,
     pub admitted: Vec<Ticket>,
     pub refused: Vec<(Ticket, RefusalCode)>,
     /// How many at once are quick; more are ten times slower, three times as many are shed.
@@ -64,7 +64,7 @@
             incarnation: Incarnation(life),
             state,
             slots: SlotCount(SLOTS),
-            cold: SlotCount(COLD),
+            cold_slots: SlotCount(COLD),
             warm_up: WARM_UP,
         }));
     }
@@ -83,12 +83,12 @@
         let busy = self.running.len() as u32 + 1;
         let (span, end) = match busy {
             _ if busy > self.bears.saturating_mul(3) => {
-                (Duration::from_micros(200), AttemptEnd::Shed)
+                (Duration::from_micros(200), AttemptOutcome::Shed)
             }
-            _ if busy > self.bears => (ANSWER * 10, AttemptEnd::Answered(ANSWER * 10)),
+            _ if busy > self.bears => (ANSWER * 10, AttemptOutcome::Answered(ANSWER * 10)),
             _ => {
                 let span = ANSWER * self.slowness;
-                (span, AttemptEnd::Answered(span))
+                (span, AttemptOutcome::Answered(span))
             }
         };
         self.running.push_back((ticket, self.now + span, end));
@@ -99,7 +99,7 @@
         self.next += 1;
         let ticket = Ticket(self.next);
         let deadline = self.now + patience;
-        self.step(AdmissionEvent::Arrived(Work {
+        self.step(AdmissionEvent::Arrived(AdmissionRequest {
             ticket,
             route: "view".parse().unwrap(),
             priority,
@@ -117,7 +117,10 @@
             self.running = left;
             let done: VecDeque<_> = done;
             for (ticket, _, end) in done {
-                self.step(AdmissionEvent::Ended { ticket, end });
+                self.step(AdmissionEvent::Ended {
+                    ticket,
+                    outcome: end,
+                });
             }
             for _ in 0..each {
                 self.arrive(Priority::High, Duration::from_millis(200));
--- a/crates/core/tests/choice.rs
+++ b/crates/core/tests/choice.rs
@@ -12,9 +12,9 @@
 use quetzalrack_core::ids::NodeName;
 use quetzalrack_core::ids::SlotCount;
 use quetzalrack_core::time::Moment;
-use quetzalrack_core::traffic::choice::ChoicePolicy;
-use quetzalrack_core::traffic::choice::Chooser;
-use quetzalrack_core::traffic::choice::NodeLoad;
+use quetzalrack_core::traffic::balancing::BalancingPolicy;
+use quetzalrack_core::traffic::balancing::LoadBalancer;
+use quetzalrack_core::traffic::balancing::NodeLoad;
 
 const STEP: Duration = Duration::from_millis(1);
 
@@ -42,7 +42,7 @@
 }
 
 struct Bench {
-    chooser: Chooser,
+    chooser: LoadBalancer,
     nodes: Vec<RoutingNode>,
     /// What each node's neighbour measures, in microseconds.
     latency: Vec<u32>,
@@ -53,9 +53,9 @@
 }
 
 impl Bench {
-    fn new(policy: ChoicePolicy) -> Self {
+    fn new(policy: BalancingPolicy) -> Self {
         Self {
-            chooser: Chooser::new("za".parse().unwrap(), policy, 7),
+            chooser: LoadBalancer::new("za".parse().unwrap(), policy, 7),
             nodes: (0..4).map(node).collect(),
             latency: vec![5_000; 4],
             in_flight: vec![4; 4],
@@ -72,7 +72,7 @@
             self.now = self.now + STEP;
             let nodes: Vec<&RoutingNode> = self.nodes.iter().collect();
             let chosen = self.chooser.choose(self.now, &nodes).unwrap();
-            for name in [Some(chosen.node), chosen.measured].into_iter().flatten() {
+            for name in [Some(chosen.node), chosen.probe].into_iter().flatten() {
                 self.answer(&name);
                 *counts.entry(name).or_insert(0) += 1;
             }
@@ -83,16 +83,16 @@
     fn answer(&mut self, name: &NodeName) {
         let place = self.nodes.iter().position(|node| node.member.node == *name);
         let place = place.unwrap();
-        self.chooser.sent(name);
-        self.chooser.ended(name);
+        self.chooser.record_sent(name);
+        self.chooser.record_ended(name);
         let load = NodeLoad {
             in_flight: SlotCount(self.in_flight[place]),
             limit: SlotCount(18),
             latency_us: self.latency[place],
         };
         match self.overtaken == Some(place) {
-            true => self.chooser.given_up(name),
-            false => self.chooser.learn(self.now, name, load),
+            true => self.chooser.record_abandoned(name),
+            false => self.chooser.record_load(self.now, name, load),
         }
     }
 }
@@ -108,7 +108,7 @@
 /// recovers it comes back step by step.
 #[test]
 fn idle_straggler() {
-    let mut bench = Bench::new(ChoicePolicy::Default);
+    let mut bench = Bench::new(BalancingPolicy::Default);
     bench.pass(Duration::from_secs(1));
     bench.latency[2] = 50_000;
     bench.in_flight[2] = 0;
@@ -129,11 +129,11 @@
 /// notices by itself after a few, and takes it back when it answers again.
 #[test]
 fn overtaken_straggler() {
-    let mut bench = Bench::new(ChoicePolicy::Default);
+    let mut bench = Bench::new(BalancingPolicy::Default);
     let name: NodeName = "node-2".parse().unwrap();
     bench.pass(Duration::from_millis(500));
     for _ in 0..3 {
-        bench.chooser.given_up(&name);
+        bench.chooser.record_abandoned(&name);
     }
     bench.overtaken = Some(2);
     let slowed = bench.pass(Duration::from_secs(2));
@@ -147,7 +147,7 @@
 /// Two of four are slow: the two quick ones get nearly all.
 #[test]
 fn two_stragglers() {
-    let mut bench = Bench::new(ChoicePolicy::Default);
+    let mut bench = Bench::new(BalancingPolicy::Default);
     for slow in [1, 2] {
         bench.latency[slow] = 50_000;
         bench.nodes[slow].latency_us = 50_000;
@@ -160,7 +160,7 @@
 /// All are slow alike: none is a straggler, and all are used.
 #[test]
 fn all_slow() {
-    let mut bench = Bench::new(ChoicePolicy::Default);
+    let mut bench = Bench::new(BalancingPolicy::Default);
     bench.latency = vec![50_000; 4];
     let counts = bench.pass(Duration::from_secs(3));
     assert!(
@@ -172,7 +172,7 @@
 /// The own zone is preferred while it has room, and no longer once it is fuller than the others.
 #[test]
 fn zone_yields() {
-    let mut bench = Bench::new(ChoicePolicy::Default);
+    let mut bench = Bench::new(BalancingPolicy::Default);
     let calm = bench.pass(Duration::from_secs(2));
     assert!(share(&calm, 0) > 0.4, "{calm:?}");
     bench.in_flight[0] = 17;
@@ -185,14 +185,14 @@
 /// Equal seeds and events make equal choices.
 #[test]
 fn same_seed() {
-    let run = || Bench::new(ChoicePolicy::Default).pass(Duration::from_secs(1));
+    let run = || Bench::new(BalancingPolicy::Default).pass(Duration::from_secs(1));
     assert_eq!(run(), run());
 }
 
 /// The baselines know no stragglers: round robin gives each a quarter.
 #[test]
 fn round_robin() {
-    let mut bench = Bench::new(ChoicePolicy::RoundRobin);
+    let mut bench = Bench::new(BalancingPolicy::RoundRobin);
     bench.latency[2] = 50_000;
     let counts = bench.pass(Duration::from_secs(1));
     assert!((0..4).all(|index| (share(&counts, index) - 0.25).abs() < 0.01));
--- a/crates/core/tests/cold_start.rs
+++ b/crates/core/tests/cold_start.rs
@@ -45,7 +45,10 @@
     assert!(bench.admission.in_flight().0 <= COLD);
     let (ticket, _, end) = old[0];
     let before = bench.admission.in_flight();
-    bench.step(AdmissionEvent::Ended { ticket, end });
+    bench.step(AdmissionEvent::Ended {
+        ticket,
+        outcome: end,
+    });
     assert_eq!(
         bench.admission.in_flight(),
         before,
@@ -90,7 +93,7 @@
     let mut bench = Bench::new(ServerState::Warm);
     bench.pass(Duration::from_millis(300), 5);
     bench.pass(Duration::from_millis(100), 0);
-    bench.step(AdmissionEvent::Returned);
+    bench.step(AdmissionEvent::ServerRestored);
     assert_eq!(bench.limit(), COLD);
     bench.pass(Duration::from_millis(300), 5);
     assert_eq!(bench.limit(), SLOTS);
--- a/crates/core/tests/ownership/support/cluster_faults.rs
+++ b/crates/core/tests/ownership/support/cluster_faults.rs
@@ -7,7 +7,7 @@
 use quetzalrack_core::ownership::OwnershipConfig;
 use quetzalrack_core::ownership::OwnershipEvent;
 use quetzalrack_core::traffic::SliceLoad;
-use quetzalrack_core::traffic::TrafficMeasure;
+use quetzalrack_core::traffic::TrafficStats;
 use rand::Rng;
 
 use super::Cluster;
@@ -97,7 +97,7 @@
                 slice,
             };
             let slices = slices.into_iter().map(&mut load).collect();
-            let measure = TrafficMeasure {
+            let measure = TrafficStats {
                 limit: SlotCount(18),
                 in_flight: SlotCount(self.rng.random_range(4..12)),
                 latency_us: self.rng.random_range(8_000..12_000),
--- a/crates/core/tests/second_attempts.rs
+++ b/crates/core/tests/second_attempts.rs
@@ -33,9 +33,9 @@
 fn hedge_wait() {
     let mut policy = HedgePolicy::default();
     let now = Moment(1_000_000_000);
-    assert_eq!(policy.wait(), None);
+    assert_eq!(policy.delay(), None);
     for each in 1..=100 {
         policy.record(now, Duration::from_millis(each));
     }
-    assert_eq!(policy.wait(), Some(Duration::from_millis(95)));
+    assert_eq!(policy.delay(), Some(Duration::from_millis(95)));
 }
--- a/crates/node/src/node/bind_traffic.rs
+++ b/crates/node/src/node/bind_traffic.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::thread;
 
-use quetzalrack_core::traffic::choice::ChoicePolicy;
+use quetzalrack_core::traffic::balancing::BalancingPolicy;
 
 use super::Node;
 use super::SpawnError;
@@ -36,7 +36,7 @@
         choice: settings.choice,
         hedging: settings
             .hedging
-            .unwrap_or(settings.choice == ChoicePolicy::Default),
+            .unwrap_or(settings.choice == BalancingPolicy::Default),
         seed: node.boundaries.clock.wall().0,
     };
     let handovers = Arc::new(CallClient::new(node.keys.clone()));
--- a/crates/node/src/settings/node_settings.rs
+++ b/crates/node/src/settings/node_settings.rs
@@ -7,7 +7,7 @@
 use quetzalrack_core::ids::NodeName;
 use quetzalrack_core::ids::ZoneName;
 use quetzalrack_core::intent::Stage;
-use quetzalrack_core::traffic::choice::ChoicePolicy;
+use quetzalrack_core::traffic::balancing::BalancingPolicy;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -57,7 +57,7 @@
     pub advertise: PortSettings,
     /// How a node is chosen where any may answer; for experiments only.
     #[serde(default)]
-    pub choice: ChoicePolicy,
+    pub choice: BalancingPolicy,
     /// Whether slow repeatable requests are sent a second time; for experiments only. Without it
     /// they are, unless a baseline was chosen.
     #[serde(default)]
--- a/crates/node/src/shared/traffic_control.rs
+++ b/crates/node/src/shared/traffic_control.rs
@@ -6,7 +6,7 @@
 use quetzalrack_core::cluster::Member;
 use quetzalrack_core::ids::Fence;
 use quetzalrack_core::ids::SliceId;
-use quetzalrack_core::traffic::TrafficMeasure;
+use quetzalrack_core::traffic::TrafficStats;
 
 use super::Handover;
 
@@ -32,7 +32,7 @@
     fn receive_handover(&self, handover: Handover);
 
     /// Returns the current counts.
-    fn measure(&self) -> TrafficMeasure;
+    fn measure(&self) -> TrafficStats;
 
     /// Returns what callers got at this node since it started, by route.
     fn route_samples(&self) -> Vec<RouteSample>;
--- a/crates/node/src/traffic/config.rs
+++ b/crates/node/src/traffic/config.rs
@@ -5,7 +5,7 @@
 
 use quetzalrack_core::ids::NodeName;
 use quetzalrack_core::ids::ZoneName;
-use quetzalrack_core::traffic::choice::ChoicePolicy;
+use quetzalrack_core::traffic::balancing::BalancingPolicy;
 
 use crate::platform::KeyStore;
 
@@ -25,7 +25,7 @@
     /// The keys by which nodes know each other.
     pub keys: Arc<KeyStore>,
     /// How a node is chosen where any may answer.
-    pub choice: ChoicePolicy,
+    pub choice: BalancingPolicy,
     /// Whether slow requests are sent a second time.
     pub hedging: bool,
     /// Seeds the choice, so that an experiment can be repeated.
--- a/crates/node/src/traffic/egress/answer_body.rs
+++ b/crates/node/src/traffic/egress/answer_body.rs
@@ -6,7 +6,7 @@
 use axum::body::Body;
 use bytes::Bytes;
 use futures::stream;
-use quetzalrack_core::traffic::admission::AttemptEnd;
+use quetzalrack_core::traffic::admission::AttemptOutcome;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
@@ -64,12 +64,12 @@
                 }
             }
             Ok(Ok(None)) => {
-                held.end(AttemptEnd::Answered(latency));
+                held.end(AttemptOutcome::Answered(latency));
                 give(&reader, Piece::End).await;
                 return;
             }
             Ok(Err(_)) => {
-                held.end(AttemptEnd::Lost);
+                held.end(AttemptOutcome::Lost);
                 return;
             }
             // It stands still in the middle of an answer and may go on later.
--- a/crates/node/src/traffic/egress/answers.rs
+++ b/crates/node/src/traffic/egress/answers.rs
@@ -4,7 +4,7 @@
 use axum::http::HeaderMap;
 use axum::http::Response;
 use axum::http::StatusCode;
-use quetzalrack_core::traffic::admission::AttemptEnd;
+use quetzalrack_core::traffic::admission::AttemptOutcome;
 use quetzalrack_core::traffic::refusal::RefusalCode;
 use quetzalrack_wire::headers;
 
@@ -38,9 +38,9 @@
             return Err(RefusalCode::AnswerLost.into());
         }
         let (end, code) = match status {
-            StatusCode::SERVICE_UNAVAILABLE if not_run => (AttemptEnd::Shed, RefusalCode::Shed),
-            _ if not_run => (AttemptEnd::Abandoned, RefusalCode::StaleFence),
-            _ if status.is_server_error() => (AttemptEnd::Failed, RefusalCode::ServerFailed),
+            StatusCode::SERVICE_UNAVAILABLE if not_run => (AttemptOutcome::Shed, RefusalCode::Shed),
+            _ if not_run => (AttemptOutcome::Abandoned, RefusalCode::StaleFence),
+            _ if status.is_server_error() => (AttemptOutcome::Failed, RefusalCode::ServerFailed),
             _ => {
                 let mut map = map.clone();
                 retain_passed(&mut map);
--- a/crates/node/src/traffic/egress/attempt.rs
+++ b/crates/node/src/traffic/egress/attempt.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use quetzalrack_core::traffic::admission::AttemptEnd;
+use quetzalrack_core::traffic::admission::AttemptOutcome;
 use quetzalrack_core::traffic::refusal::RefusalCode;
 use tokio::sync::oneshot;
 
@@ -62,7 +62,7 @@
         }
         Some(Err(error)) => {
             let (end, code) = match exceeded.load(Ordering::Acquire) {
-                true => (AttemptEnd::Abandoned, RefusalCode::BodyOverrun),
+                true => (AttemptOutcome::Abandoned, RefusalCode::BodyOverrun),
                 false => judge_error(&error),
             };
             held.end(end);
@@ -79,16 +79,16 @@
                     let _ = tokio::time::timeout(STOPPED, answer).await;
                 }
             }
-            held.end(AttemptEnd::Abandoned);
+            held.end(AttemptOutcome::Abandoned);
         }
     }
 }
 
-fn judge_error(error: &reqwest::Error) -> (AttemptEnd, RefusalCode) {
+fn judge_error(error: &reqwest::Error) -> (AttemptOutcome, RefusalCode) {
     match error.is_connect() {
         // No answer to the connection says less than its refusal: the host may be busy.
-        true if error.is_timeout() => (AttemptEnd::Lost, RefusalCode::ServerUnreachable),
-        true => (AttemptEnd::Unreachable, RefusalCode::ServerUnreachable),
-        false => (AttemptEnd::Lost, RefusalCode::AnswerLost),
+        true if error.is_timeout() => (AttemptOutcome::Lost, RefusalCode::ServerUnreachable),
+        true => (AttemptOutcome::Unreachable, RefusalCode::ServerUnreachable),
+        false => (AttemptOutcome::Lost, RefusalCode::AnswerLost),
     }
 }
--- a/crates/node/src/traffic/egress/egress_node.rs
+++ b/crates/node/src/traffic/egress/egress_node.rs
@@ -17,9 +17,9 @@
 use quetzalrack_core::ids::SliceId;
 use quetzalrack_core::ids::ZoneName;
 use quetzalrack_core::time::Moment;
-use quetzalrack_core::traffic::admission::AttemptEnd;
-use quetzalrack_core::traffic::gate::Gate;
-use quetzalrack_core::traffic::gate::GateSettings;
+use quetzalrack_core::traffic::admission::AttemptOutcome;
+use quetzalrack_core::traffic::idempotency::IdempotencySettings;
+use quetzalrack_core::traffic::idempotency::IdempotencyStore;
 use quetzalrack_core::traffic::refusal::RefusalCode;
 
 use super::answer_body::passing_body;
@@ -65,7 +65,7 @@
     /// The life of the backend server that admission knows.
     pub(super) life: AtomicU64,
     pub(super) upkeep: Mutex<Upkeep>,
-    gate: Mutex<Gate>,
+    gate: Mutex<IdempotencyStore>,
 }
 
 impl Egress {
@@ -86,7 +86,7 @@
             out_since: AtomicU64::new(0),
             life: AtomicU64::new(0),
             upkeep: Mutex::default(),
-            gate: Mutex::new(Gate::new(GateSettings::default())),
+            gate: Mutex::new(IdempotencyStore::new(IdempotencySettings::default())),
             view,
             clock,
         })
@@ -128,7 +128,7 @@
         match read_ahead(&mut head.answer, BUFFERED as usize).await {
             ReadAhead::Whole(body) => {
                 let origin = head.held.origin().clone();
-                head.held.end(AttemptEnd::Answered(head.latency));
+                head.held.end(AttemptOutcome::Answered(head.latency));
                 Ok(self.response(passed, &origin, Body::from(body)))
             }
             ReadAhead::Longer(first) => {
@@ -137,7 +137,7 @@
                 Ok(self.response(passed, &origin, body))
             }
             ReadAhead::Broken => {
-                head.held.end(AttemptEnd::Lost);
+                head.held.end(AttemptOutcome::Lost);
                 Err(RefusalCode::AnswerLost.into())
             }
         }
@@ -219,7 +219,7 @@
         }
     }
 
-    pub(super) fn gate(&self) -> MutexGuard<'_, Gate> {
+    pub(super) fn gate(&self) -> MutexGuard<'_, IdempotencyStore> {
         self.gate.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/node/src/traffic/egress/gate_pass.rs
+++ b/crates/node/src/traffic/egress/gate_pass.rs
@@ -13,12 +13,12 @@
 use bytes::Bytes;
 use quetzalrack_core::cluster::Announcement;
 use quetzalrack_core::ids::IdempotencyKey;
-use quetzalrack_core::traffic::admission::AttemptEnd;
-use quetzalrack_core::traffic::gate::GateDecision;
-use quetzalrack_core::traffic::gate::KeptAnswer;
-use quetzalrack_core::traffic::gate::KeptHeader;
-use quetzalrack_core::traffic::gate::RequestDigest;
-use quetzalrack_core::traffic::gate::WorkEnd;
+use quetzalrack_core::traffic::admission::AttemptOutcome;
+use quetzalrack_core::traffic::idempotency::ExecutionOutcome;
+use quetzalrack_core::traffic::idempotency::IdempotencyDecision;
+use quetzalrack_core::traffic::idempotency::RequestDigest;
+use quetzalrack_core::traffic::idempotency::StoredHeader;
+use quetzalrack_core::traffic::idempotency::StoredResponse;
 use quetzalrack_core::traffic::refusal::RefusalCode;
 use quetzalrack_core::traffic::refusal::WorkOutcome;
 use quetzalrack_wire::headers;
@@ -74,9 +74,9 @@
             .gate()
             .admit(wall, &grant.slice, grant.fence, key, digest);
         match decision {
-            GateDecision::Run => {}
-            GateDecision::Refuse(code) => return Err(code.into()),
-            GateDecision::Repeat(kept) => {
+            IdempotencyDecision::Run => {}
+            IdempotencyDecision::Refuse(code) => return Err(code.into()),
+            IdempotencyDecision::Replay(kept) => {
                 let origin = Origin::new(hop.attempt, &server, Some(grant));
                 return Ok(self.repeat(kept, &origin));
             }
@@ -104,7 +104,7 @@
         }
     }
 
-    fn repeat(&self, kept: KeptAnswer, origin: &Origin) -> Response<Body> {
+    fn repeat(&self, kept: StoredResponse, origin: &Origin) -> Response<Body> {
         let mut response = Response::new(Body::from(kept.body));
         *response.status_mut() = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
         let map = response.headers_mut();
@@ -128,7 +128,7 @@
         let outgoing = match prepared {
             Ok(outgoing) => outgoing,
             Err(refusal) => {
-                self.finish(WorkEnd::NotRun);
+                self.finish(ExecutionOutcome::NotRun);
                 return Err(refusal);
             }
         };
@@ -141,9 +141,9 @@
             Ok((head, passed)) => self.keep(head, passed).await,
             Err(refusal) => {
                 self.finish(match refusal.code.outcome() {
-                    WorkOutcome::NotRun => WorkEnd::NotRun,
-                    WorkOutcome::Unknown => WorkEnd::Unknown,
-                    WorkOutcome::Failed => WorkEnd::Failed,
+                    WorkOutcome::NotRun => ExecutionOutcome::NotRun,
+                    WorkOutcome::Unknown => ExecutionOutcome::Unknown,
+                    WorkOutcome::Failed => ExecutionOutcome::Failed,
                 });
                 Err(refusal)
             }
@@ -151,39 +151,42 @@
     }
 
     async fn keep(&self, mut head: Head, passed: Passed) -> Answer {
-        let limit = self.egress.gate().answer_limit();
+        let limit = self.egress.gate().response_limit();
         let origin = head.held.origin().clone();
         match read_ahead(&mut head.answer, limit).await {
             ReadAhead::Whole(body) => {
-                head.held.end(AttemptEnd::Answered(head.latency));
-                self.finish(WorkEnd::Answered(kept_answer(&passed, body.clone())));
+                head.held.end(AttemptOutcome::Answered(head.latency));
+                self.finish(ExecutionOutcome::Answered(kept_answer(
+                    &passed,
+                    body.clone(),
+                )));
                 Ok(self.egress.response(passed, &origin, Body::from(body)))
             }
             ReadAhead::Longer(first) => {
-                self.finish(WorkEnd::TooLarge);
+                self.finish(ExecutionOutcome::TooLarge);
                 let body = passing_body(first, head.answer, head.held, head.latency);
                 Ok(self.egress.response(passed, &origin, body))
             }
             ReadAhead::Broken => {
-                head.held.end(AttemptEnd::Lost);
-                self.finish(WorkEnd::Unknown);
+                head.held.end(AttemptOutcome::Lost);
+                self.finish(ExecutionOutcome::Unknown);
                 Err(RefusalCode::AnswerLost.into())
             }
         }
     }
 
-    fn finish(&self, end: WorkEnd) {
+    fn finish(&self, end: ExecutionOutcome) {
         let mut gate = self.egress.gate();
         gate.finish(&self.grant.slice, self.grant.fence, self.key, end);
     }
 }
 
-fn kept_answer(passed: &Passed, body: Bytes) -> KeptAnswer {
-    let headers = passed.map.iter().map(|(name, value)| KeptHeader {
+fn kept_answer(passed: &Passed, body: Bytes) -> StoredResponse {
+    let headers = passed.map.iter().map(|(name, value)| StoredHeader {
         name: name.as_str().to_owned(),
         value: value.as_bytes().to_vec(),
     });
-    KeptAnswer {
+    StoredResponse {
         status: passed.status.as_u16(),
         headers: headers.collect(),
         body,
--- a/crates/node/src/traffic/egress/served.rs
+++ b/crates/node/src/traffic/egress/served.rs
@@ -11,7 +11,7 @@
 use quetzalrack_core::ids::ServerName;
 use quetzalrack_core::ids::SliceId;
 use quetzalrack_core::time::Moment;
-use quetzalrack_core::traffic::admission::AttemptEnd;
+use quetzalrack_core::traffic::admission::AttemptOutcome;
 
 use super::Egress;
 use super::slice_book::SliceUse;
@@ -81,7 +81,7 @@
     }
 
     /// Gives the slot back: the request's end is known.
-    pub(super) fn end(mut self, end: AttemptEnd) {
+    pub(super) fn end(mut self, end: AttemptOutcome) {
         if let Some(inner) = self.inner.take() {
             inner.slot.end(end);
         }
@@ -99,7 +99,7 @@
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
             runtime.spawn(async move {
                 egress.cancel_surely(&origin).await;
-                inner.slot.end(AttemptEnd::Abandoned);
+                inner.slot.end(AttemptOutcome::Abandoned);
             });
         }
     }
--- a/crates/node/src/traffic/egress/slice_moves.rs
+++ b/crates/node/src/traffic/egress/slice_moves.rs
@@ -9,7 +9,7 @@
 use quetzalrack_core::cluster::Member;
 use quetzalrack_core::ids::Fence;
 use quetzalrack_core::ids::SliceId;
-use quetzalrack_core::traffic::gate::SliceMemory;
+use quetzalrack_core::traffic::idempotency::IdempotencyState;
 
 use super::Egress;
 use crate::shared::Handover;
@@ -49,7 +49,7 @@
         previous: Option<Fence>,
     ) {
         let handover = previous.and_then(|previous| self.handovers.take(slice, previous));
-        let memory = handover.and_then(|handover| match SliceMemory::decode(&handover.memory) {
+        let memory = handover.and_then(|handover| match IdempotencyState::decode(&handover.memory) {
             Ok(memory) => Some(memory),
             Err(error) => {
                 log::warn!(event = "handover_unreadable", slice:% = slice, error:% = error; "starting empty");
@@ -57,7 +57,7 @@
             }
         });
         let wall = self.clock.wall();
-        self.gate().prepare(wall, slice, fence, memory);
+        self.gate().add_slice(wall, slice, fence, memory);
     }
 
     /// Finishes a slice's requests and hands its memory over.
@@ -72,7 +72,7 @@
         if tokio::time::timeout(FINISH, finished).await.is_err() {
             log::warn!(event = "drain_cut_short", slice:% = slice; "requests still in flight");
         }
-        let memory = self.gate().release(slice, fence);
+        let memory = self.gate().remove_slice(slice, fence);
         let (Some(memory), Some(successor)) = (memory, successor) else {
             return;
         };
@@ -96,7 +96,7 @@
     /// Forgets a slice whose lease ended without a handover.
     pub(in crate::traffic) fn forget_slice(&self, slice: &SliceId, fence: Fence) {
         self.book.close(slice, fence);
-        self.gate().release(slice, fence);
+        self.gate().remove_slice(slice, fence);
     }
 
     /// Keeps a memory until the matching grant arrives; a newer one replaces an older one.
--- a/crates/node/src/traffic/egress/slots.rs
+++ b/crates/node/src/traffic/egress/slots.rs
@@ -15,10 +15,10 @@
 use quetzalrack_core::traffic::admission::Admission;
 use quetzalrack_core::traffic::admission::AdmissionAction;
 use quetzalrack_core::traffic::admission::AdmissionEvent;
-use quetzalrack_core::traffic::admission::AttemptEnd;
+use quetzalrack_core::traffic::admission::AdmissionRequest;
+use quetzalrack_core::traffic::admission::AttemptOutcome;
 use quetzalrack_core::traffic::admission::Ticket;
-use quetzalrack_core::traffic::admission::Work;
-use quetzalrack_core::traffic::choice::NodeLoad;
+use quetzalrack_core::traffic::balancing::NodeLoad;
 use quetzalrack_core::traffic::refusal::RefusalCode;
 use tokio::sync::oneshot;
 
@@ -74,7 +74,7 @@
                 ticket,
             }
         };
-        self.step(AdmissionEvent::Arrived(Work {
+        self.step(AdmissionEvent::Arrived(AdmissionRequest {
             ticket: place.ticket,
             route: route.name.clone(),
             priority: route.priority,
@@ -148,14 +148,17 @@
 
 impl Slot {
     /// Gives the slot back.
-    pub(super) fn end(mut self, end: AttemptEnd) {
+    pub(super) fn end(mut self, end: AttemptOutcome) {
         self.give_back(end);
     }
 
-    fn give_back(&mut self, end: AttemptEnd) {
+    fn give_back(&mut self, end: AttemptOutcome) {
         if std::mem::take(&mut self.open) {
             let ticket = self.ticket;
-            self.slots.step(AdmissionEvent::Ended { ticket, end });
+            self.slots.step(AdmissionEvent::Ended {
+                ticket,
+                outcome: end,
+            });
         }
     }
 }
@@ -163,7 +166,7 @@
 impl Drop for Slot {
     /// A slot that is dropped was never used, or its request ended in a way that says nothing.
     fn drop(&mut self) {
-        self.give_back(AttemptEnd::Abandoned);
+        self.give_back(AttemptOutcome::Abandoned);
     }
 }
 
@@ -171,7 +174,7 @@
     fn drop(&mut self) {
         let waited = self.slots.lock().waiting.remove(&self.ticket).is_some();
         if waited {
-            self.slots.step(AdmissionEvent::Withdrawn(self.ticket));
+            self.slots.step(AdmissionEvent::Cancelled(self.ticket));
         }
     }
 }
--- a/crates/node/src/traffic/egress/upkeep.rs
+++ b/crates/node/src/traffic/egress/upkeep.rs
@@ -8,10 +8,10 @@
 use quetzalrack_core::burn::WorkSample;
 use quetzalrack_core::cluster::Announcement;
 use quetzalrack_core::ids::Incarnation;
-use quetzalrack_core::traffic::TrafficMeasure;
+use quetzalrack_core::traffic::TrafficStats;
 use quetzalrack_core::traffic::admission::AdmissionEvent;
 use quetzalrack_core::traffic::admission::ServerProfile;
-use quetzalrack_core::traffic::choice::NodeLoad;
+use quetzalrack_core::traffic::balancing::NodeLoad;
 
 use super::Egress;
 
@@ -55,11 +55,11 @@
     }
 
     /// Returns the current counts.
-    pub(in crate::traffic) fn measure(&self) -> TrafficMeasure {
+    pub(in crate::traffic) fn measure(&self) -> TrafficStats {
         let now = self.clock.now();
         let load = self.slots.load();
         let period = self.load.take(now);
-        TrafficMeasure {
+        TrafficStats {
             limit: load.limit,
             in_flight: self.slots.in_flight(),
             latency_us: load.latency_us,
@@ -145,7 +145,7 @@
         match takes_work {
             true if out_since != 0 => {
                 self.out_since.store(0, Ordering::Relaxed);
-                self.slots.step(AdmissionEvent::Returned);
+                self.slots.step(AdmissionEvent::ServerRestored);
             }
             false if out_since == 0 => {
                 let now = self.clock.now().0.max(1);
--- a/crates/node/src/traffic/ingress/anywhere.rs
+++ b/crates/node/src/traffic/ingress/anywhere.rs
@@ -119,7 +119,7 @@
             },
             answer = &mut hedge => match answer {
                 Ok(answer) => {
-                    self.ingress.chooser().given_up(&target.node);
+                    self.ingress.chooser().record_abandoned(&target.node);
                     Ok(answer)
                 }
                 Err(refusal) => first.await.map_err(|last| last.after(Some(refusal))),
@@ -156,7 +156,7 @@
         let member = |name: &NodeName| Some(routing.nodes.get(name)?.member.clone());
         Some(Target {
             member: member(&chosen.node)?,
-            measured: chosen.measured.as_ref().and_then(member),
+            measured: chosen.probe.as_ref().and_then(member),
         })
     }
 
@@ -182,6 +182,6 @@
     match refusal.code {
         RefusalCode::DeadlineNotRun => false,
         RefusalCode::AnswerLost => true,
-        code => code.outcome() == WorkOutcome::NotRun && code.is_passing(),
+        code => code.outcome() == WorkOutcome::NotRun && code.is_transient(),
     }
 }
--- a/crates/node/src/traffic/ingress/caller_answer.rs
+++ b/crates/node/src/traffic/ingress/caller_answer.rs
@@ -40,7 +40,7 @@
                     WorkOutcome::Unknown => RequestOutcome::Unknown,
                     WorkOutcome::Failed => RequestOutcome::Failed,
                 };
-                if !refusal.code.is_callers_fault() {
+                if !refusal.code.is_client_error() {
                     self.counters.record(&call.matched, outcome, latency);
                 }
                 log::info!(
--- a/crates/node/src/traffic/ingress/ingress_node.rs
+++ b/crates/node/src/traffic/ingress/ingress_node.rs
@@ -9,7 +9,7 @@
 use quetzalrack_core::boundary::Clock;
 use quetzalrack_core::ids::NodeName;
 use quetzalrack_core::time::Moment;
-use quetzalrack_core::traffic::choice::Chooser;
+use quetzalrack_core::traffic::balancing::LoadBalancer;
 use reqwest::Client;
 use reqwest::redirect::Policy;
 use tokio::sync::Semaphore;
@@ -35,7 +35,7 @@
     pub(super) seconds: SecondAttempts,
     pub(super) waiters: Semaphore,
     clock: Arc<dyn Clock>,
-    chooser: Mutex<Chooser>,
+    chooser: Mutex<LoadBalancer>,
 }
 
 /// Counts a request as outstanding at a node until it is dropped.
@@ -59,7 +59,7 @@
             .pool_max_idle_per_host(IDLE)
             .http1_only()
             .build()?;
-        let chooser = Chooser::new(config.zone.clone(), config.choice, config.seed);
+        let chooser = LoadBalancer::new(config.zone.clone(), config.choice, config.seed);
         Ok(Self {
             client,
             routes: RouteCache::default(),
@@ -70,12 +70,12 @@
         })
     }
 
-    pub(super) fn chooser(&self) -> MutexGuard<'_, Chooser> {
+    pub(super) fn chooser(&self) -> MutexGuard<'_, LoadBalancer> {
         self.chooser.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(super) fn outstanding<'a>(&'a self, node: &'a NodeName) -> Outstanding<'a> {
-        self.chooser().sent(node);
+        self.chooser().record_sent(node);
         Outstanding {
             ingress: self,
             node,
@@ -89,6 +89,6 @@
 
 impl Drop for Outstanding<'_> {
     fn drop(&mut self) {
-        self.ingress.chooser().ended(self.node);
+        self.ingress.chooser().record_ended(self.node);
     }
 }
--- a/crates/node/src/traffic/ingress/remote.rs
+++ b/crates/node/src/traffic/ingress/remote.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use futures::stream;
 use quetzalrack_core::cluster::Member;
-use quetzalrack_core::traffic::choice::NodeLoad;
+use quetzalrack_core::traffic::balancing::NodeLoad;
 use quetzalrack_core::traffic::refusal::RefusalCode;
 use quetzalrack_wire::headers;
 use reqwest::Url;
@@ -41,7 +41,7 @@
             let answer = self.egress.serve(hop).await;
             let load = self.egress.load();
             let now = self.clock.now();
-            self.ingress.chooser().learn(now, &member.node, load);
+            self.ingress.chooser().record_load(now, &member.node, load);
             return answer;
         }
         self.send_remote(member, hop).await
@@ -119,7 +119,7 @@
         let text = map.get(headers::LOAD).and_then(|value| value.to_str().ok());
         if let Some(load) = text.and_then(|text| text.parse::<NodeLoad>().ok()) {
             let now = self.clock.now();
-            self.ingress.chooser().learn(now, &member.node, load);
+            self.ingress.chooser().record_load(now, &member.node, load);
         }
     }
 }
--- a/crates/node/src/traffic/ingress/second_attempts.rs
+++ b/crates/node/src/traffic/ingress/second_attempts.rs
@@ -46,7 +46,7 @@
     pub(super) fn hedge_wait(&self, matched: &MatchedRoute) -> Option<Duration> {
         let services = self.lock();
         let state = services.get(&matched.service.name)?;
-        state.hedges.get(&matched.route.name)?.wait()
+        state.hedges.get(&matched.route.name)?.delay()
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<ServiceName, ServiceState>> {
--- a/crates/node/src/traffic/refusal.rs
+++ b/crates/node/src/traffic/refusal.rs
@@ -37,7 +37,7 @@
     fn from(code: RefusalCode) -> Self {
         Self {
             code,
-            retry: code.is_passing().then_some(USUAL_RETRY),
+            retry: code.is_transient().then_some(USUAL_RETRY),
             owner: None,
         }
     }
--- a/crates/node/src/traffic/traffic_control.rs
+++ b/crates/node/src/traffic/traffic_control.rs
@@ -8,7 +8,7 @@
 use quetzalrack_core::cluster::Member;
 use quetzalrack_core::ids::Fence;
 use quetzalrack_core::ids::SliceId;
-use quetzalrack_core::traffic::TrafficMeasure;
+use quetzalrack_core::traffic::TrafficStats;
 
 use super::running_traffic::LAST_CALL;
 use super::running_traffic::RunningTraffic;
@@ -37,7 +37,7 @@
         self.core.egress.receive_handover(handover);
     }
 
-    fn measure(&self) -> TrafficMeasure {
+    fn measure(&self) -> TrafficStats {
         self.core.egress.measure()
     }
 
--- a/crates/node/tests/traffic_support/rack.rs
+++ b/crates/node/tests/traffic_support/rack.rs
@@ -20,7 +20,7 @@
 use quetzalrack_core::ids::SliceIndex;
 use quetzalrack_core::ids::SlotCount;
 use quetzalrack_core::ids::Term;
-use quetzalrack_core::traffic::choice::ChoicePolicy;
+use quetzalrack_core::traffic::balancing::BalancingPolicy;
 use quetzalrack_node::platform::BootClock;
 use quetzalrack_node::shared::Handover;
 use quetzalrack_node::shared::TrafficControl;
@@ -39,14 +39,14 @@
 impl Rack {
     /// Starts `count` nodes of `service`, every slice held by the first one.
     pub async fn start(service: &str, count: usize, work: Duration) -> Self {
-        Self::start_with(service, count, work, ChoicePolicy::Default, true).await
+        Self::start_with(service, count, work, BalancingPolicy::Default, true).await
     }
 
     pub async fn start_with(
         service: &str,
         count: usize,
         work: Duration,
-        choice: ChoicePolicy,
+        choice: BalancingPolicy,
         hedging: bool,
     ) -> Self {
         let mut nodes = Vec::new();
--- a/crates/node/tests/traffic_support/rack_node.rs
+++ b/crates/node/tests/traffic_support/rack_node.rs
@@ -18,7 +18,7 @@
 use quetzalrack_core::ids::SlotCount;
 use quetzalrack_core::ids::Version;
 use quetzalrack_core::intent::InForce;
-use quetzalrack_core::traffic::choice::ChoicePolicy;
+use quetzalrack_core::traffic::balancing::BalancingPolicy;
 use quetzalrack_node::platform::BootClock;
 use quetzalrack_node::platform::KeyStore;
 use quetzalrack_node::settings::NodeSettings;
@@ -89,7 +89,7 @@
     service: &str,
     index: usize,
     work: Duration,
-    choice: ChoicePolicy,
+    choice: BalancingPolicy,
     hedging: bool,
 ) -> RackNode {
     let zones = ["za", "zb", "zc", "zd"];
