--- a/crates/mesh/src/traffic/admission/admission_machine.rs
+++ b/crates/mesh/src/traffic/admission/admission_machine.rs
@@ -6,20 +6,20 @@
 use quetzalrack_core::ids::RouteName;
 use quetzalrack_core::time::Moment;
 
-use super::Answered;
-use super::ColdGate;
-use super::Job;
+use super::AdmissionRequest;
+use super::ColdStartLimiter;
+use super::ResponseSample;
 use super::Ticket;
+use super::admission_rates::AdmissionRates;
 use super::forecast::NEEDED;
 use super::forecast::NEEDED_IN_TIME;
-use super::line::Class;
-use super::line::Line;
-use super::pace::Pace;
-use super::start_rates::StartRates;
+use super::service_times::ServiceTimes;
+use super::wait_queue::PriorityClass;
+use super::wait_queue::WaitQueue;
 use crate::model::LinkRate;
-use crate::traffic::NotRun;
-use crate::traffic::link::AnswerSizes;
+use crate::traffic::RefusalReason;
 use crate::traffic::link::LinkBacklog;
+use crate::traffic::link::ResponseSizes;
 
 /// How long the link may be busy when a request with a large answer is started, beside the time that
 /// its work takes: enough for the link never to run dry, short enough for the rest to wait here, where
@@ -34,9 +34,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionAction {
     /// Send the request.
-    Start(Ticket),
+    Admit(Ticket),
     /// Refuse it; there may be room after this time.
-    Refuse(Ticket, NotRun, Duration),
+    Refuse(Ticket, RefusalReason, Duration),
 }
 
 /// Admits as many requests as the server has slots and the link carries answers, the most useful
@@ -48,13 +48,13 @@
 pub struct Admission {
     pub(super) slots: usize,
     pub(super) running: BTreeSet<Ticket>,
-    pub(super) short: Line,
-    pub(super) large: Line,
-    pub(super) starts: StartRates,
-    pub(super) pace: Pace,
-    pub(super) sizes: AnswerSizes,
+    pub(super) short: WaitQueue,
+    pub(super) large: WaitQueue,
+    pub(super) starts: AdmissionRates,
+    pub(super) pace: ServiceTimes,
+    pub(super) sizes: ResponseSizes,
     pub(super) backlog: LinkBacklog,
-    pub(super) cold: ColdGate,
+    pub(super) cold: ColdStartLimiter,
 }
 
 impl Admission {
@@ -69,7 +69,7 @@
     }
 
     /// Returns the gate for a cold server.
-    pub fn cold(&mut self) -> &mut ColdGate {
+    pub fn cold_limiter(&mut self) -> &mut ColdStartLimiter {
         &mut self.cold
     }
 
@@ -85,12 +85,12 @@
 
     /// Returns how long the requests that make up most of the server's work take; zero before the
     /// first.
-    pub fn pace(&self) -> Duration {
+    pub fn weighted_time(&self) -> Duration {
         self.pace.of_most_work()
     }
 
     /// Returns how long a request of a route keeps a slot.
-    pub fn work(&self, route: &RouteName) -> Duration {
+    pub fn service_time(&self, route: &RouteName) -> Duration {
         self.pace.steady(route)
     }
 
@@ -105,20 +105,24 @@
     }
 
     /// Takes a request; it starts, waits, or is refused.
-    pub fn arrive(&mut self, now: Moment, job: Job) -> Vec<AdmissionAction> {
+    pub fn arrive(&mut self, now: Moment, job: AdmissionRequest) -> Vec<AdmissionAction> {
         let wait = self.expected_wait(now, &job);
         let soonest = now + self.finish(now, &job, wait, NEEDED);
         let late = self.is_late(now, &job, wait);
         if soonest > job.deadline || (late && self.is_crowded(now, &job)) {
             let back = self.return_time(wait);
-            return vec![AdmissionAction::Refuse(job.ticket, NotRun::Full, back)];
+            return vec![AdmissionAction::Refuse(
+                job.ticket,
+                RefusalReason::Full,
+                back,
+            )];
         }
         self.line(&job.route).insert(job, late);
-        self.pump(now)
+        self.dispatch(now)
     }
 
     /// Takes back a request that nobody waits for.
-    pub fn withdraw(&mut self, ticket: Ticket) {
+    pub fn cancel(&mut self, ticket: Ticket) {
         self.short.remove(ticket);
         self.large.remove(ticket);
     }
@@ -128,24 +132,24 @@
         &mut self,
         now: Moment,
         ticket: Ticket,
-        answered: Option<Answered<'_>>,
+        answered: Option<ResponseSample<'_>>,
     ) -> Vec<AdmissionAction> {
         self.running.remove(&ticket);
         if let Some(answered) = answered {
-            self.pace.learn(answered.route, answered.time);
+            self.pace.learn(answered.route, answered.service_time);
             self.sizes.learn(answered.route, answered.bytes);
         }
         let bytes = answered.map_or(0, |answered| answered.bytes);
         self.backlog.end(now, ticket, bytes as f64);
-        self.pump(now)
+        self.dispatch(now)
     }
 
     /// Starts what can start and refuses what has become hopeless.
-    pub fn pump(&mut self, now: Moment) -> Vec<AdmissionAction> {
+    pub fn dispatch(&mut self, now: Moment) -> Vec<AdmissionAction> {
         let mut actions = Vec::new();
         self.demote_late(now);
         self.drop_hopeless(now, &mut actions);
-        while self.running.len() < self.slots && self.cold.wait(now).is_none() {
+        while self.running.len() < self.slots && self.cold.admit_delay(now).is_none() {
             let Some((job, class)) = self.pop_first(now) else {
                 break;
             };
@@ -153,23 +157,23 @@
             if let Some(bytes) = self.sizes.large(&job.route) {
                 self.backlog.begin(job.ticket, bytes);
             }
-            self.cold.count(now);
+            self.cold.record_admitted(now);
             self.running.insert(job.ticket);
-            actions.push(AdmissionAction::Start(job.ticket));
+            actions.push(AdmissionAction::Admit(job.ticket));
         }
         actions
     }
 
-    /// Returns when `pump` has something to do although nothing happens.
-    pub fn next_pump(&mut self, now: Moment) -> Option<Duration> {
+    /// Returns when `dispatch` has something to do although nothing happens.
+    pub fn next_dispatch(&mut self, now: Moment) -> Option<Duration> {
         if self.waiting() == 0 {
             return None;
         }
-        self.cold.wait(now)
+        self.cold.admit_delay(now)
     }
 
     /// Takes the most useful request for which there is room at the server and on the link.
-    fn pop_first(&mut self, now: Moment) -> Option<(Job, Class)> {
+    fn pop_first(&mut self, now: Moment) -> Option<(AdmissionRequest, PriorityClass)> {
         let large = self.large.first().map(|(place, job)| (place, &job.route));
         let open =
             large.filter(|(_, route)| self.backlog.time(now) <= self.pace.of(route) + LINK_AHEAD);
@@ -183,7 +187,7 @@
         }
     }
 
-    fn line(&mut self, route: &RouteName) -> &mut Line {
+    fn line(&mut self, route: &RouteName) -> &mut WaitQueue {
         match self.sizes.large(route) {
             Some(_) => &mut self.large,
             None => &mut self.short,
@@ -214,21 +218,26 @@
     }
 
     fn drop_hopeless(&mut self, now: Moment, actions: &mut Vec<AdmissionAction>) {
-        let hopeless = |job: &Job, _| now + self.needed(job, NEEDED) > job.deadline;
+        let hopeless = |job: &AdmissionRequest, _| now + self.needed(job, NEEDED) > job.deadline;
         let short = self.short.tickets_of(hopeless);
         let large = self.large.tickets_of(hopeless);
         for ticket in short.into_iter().chain(large) {
-            self.refuse(ticket, NotRun::Expired, actions);
+            self.refuse(ticket, RefusalReason::Expired, actions);
         }
         // Without this a late request would be held until its time is over, though it was clear long
         // before that others take all turns; its caller could have come back meanwhile.
         for ticket in self.waiting_in_vain(now) {
-            self.refuse(ticket, NotRun::Full, actions);
+            self.refuse(ticket, RefusalReason::Full, actions);
         }
     }
 
-    fn refuse(&mut self, ticket: Ticket, reason: NotRun, actions: &mut Vec<AdmissionAction>) {
-        self.withdraw(ticket);
+    fn refuse(
+        &mut self,
+        ticket: Ticket,
+        reason: RefusalReason,
+        actions: &mut Vec<AdmissionAction>,
+    ) {
+        self.cancel(ticket);
         actions.push(AdmissionAction::Refuse(ticket, reason, SHORTEST_RETURN));
     }
 }
--- a/crates/mesh/src/traffic/admission/admission_rates.rs
+++ b/crates/mesh/src/traffic/admission/admission_rates.rs
@@ -5,7 +5,7 @@
 
 use quetzalrack_core::time::Moment;
 
-use super::line::Class;
+use super::wait_queue::PriorityClass;
 
 /// The span over which starts are counted, as the time in which a count falls to a third.
 const MEMORY: Duration = Duration::from_secs(1);
@@ -18,20 +18,20 @@
 /// While enough others come that go first, a class is started rarely or never, and waiting longer
 /// only holds its callers.
 #[derive(Clone, Debug, Default)]
-pub(super) struct StartRates {
-    counts: BTreeMap<Class, f64>,
+pub(super) struct AdmissionRates {
+    counts: BTreeMap<PriorityClass, f64>,
     at: Moment,
 }
 
-impl StartRates {
-    pub(super) fn count(&mut self, now: Moment, class: Class) {
+impl AdmissionRates {
+    pub(super) fn count(&mut self, now: Moment, class: PriorityClass) {
         self.age(now);
         *self.counts.entry(class).or_default() += 1.0;
     }
 
     /// Returns how many of a class are started a second, if the server can start `usual`. What went to
     /// classes behind it would have gone to it, and so would what is not used.
-    pub(super) fn rate(&mut self, now: Moment, class: Class, usual: f64) -> f64 {
+    pub(super) fn rate(&mut self, now: Moment, class: PriorityClass, usual: f64) -> f64 {
         self.age(now);
         let behind: f64 = self.counts.range(class..).map(|(_, count)| count).sum();
         let before: f64 = self.counts.range(..class).map(|(_, count)| count).sum();
--- a/crates/mesh/src/traffic/admission/admission_request.rs
+++ b/crates/mesh/src/traffic/admission/admission_request.rs
@@ -9,7 +9,7 @@
 
 /// Is what admission must know of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Job {
+pub struct AdmissionRequest {
     /// Its name here.
     pub ticket: Ticket,
     /// Its route; requests of one route take about the same time.
--- a/crates/mesh/src/traffic/admission/cold_start_limiter.rs
+++ b/crates/mesh/src/traffic/admission/cold_start_limiter.rs
@@ -21,7 +21,7 @@
 /// it is written. Opening a connection takes a while, most of all to a server that has just started, and
 /// what was begun in one second may be written in the next.
 #[derive(Clone, Debug, Default)]
-pub struct ColdGate {
+pub struct ColdStartLimiter {
     rate: ColdRate,
     until: Moment,
     /// Whether another life of the server may listen, which is cold.
@@ -32,11 +32,11 @@
     inherited_until: Moment,
 }
 
-impl ColdGate {
+impl ColdStartLimiter {
     /// Starts with a process. One before it, killed a moment ago, may have sent as many requests as a
     /// second allows: both together would be more than a cold server bears. So nothing goes to a cold
     /// server until that second is over.
-    pub fn start(&mut self, now: Moment) {
+    pub fn block_first_window(&mut self, now: Moment) {
         self.inherited_until = now + SPAN + BUNCHING;
     }
 
@@ -46,17 +46,17 @@
     }
 
     /// Learns until when the server is cold.
-    pub fn set_cold(&mut self, until: Moment) {
+    pub fn set_cold_until(&mut self, until: Moment) {
         self.until = until;
     }
 
     /// Learns whether another life of the server may listen in place of the one that was heard last.
-    pub fn set_doubted(&mut self, doubted: bool) {
+    pub fn set_maybe_restarted(&mut self, doubted: bool) {
         self.doubted = doubted;
     }
 
     /// Returns when the next request may be begun; none if it may be now.
-    pub fn wait(&mut self, now: Moment) -> Option<Duration> {
+    pub fn admit_delay(&mut self, now: Moment) -> Option<Duration> {
         forget(&mut self.begun, now);
         if !self.is_cold(now) {
             return None;
@@ -73,12 +73,12 @@
     }
 
     /// Counts a request that is begun.
-    pub fn count(&mut self, now: Moment) {
+    pub fn record_admitted(&mut self, now: Moment) {
         self.begun.push_back(now);
     }
 
     /// Counts a request that is written now; if it may not be, returns when to ask again.
-    pub fn write(&mut self, now: Moment) -> Option<Duration> {
+    pub fn try_send(&mut self, now: Moment) -> Option<Duration> {
         forget(&mut self.written, now);
         let wait = match self.rate {
             _ if !self.is_cold(now) => None,
@@ -98,12 +98,12 @@
     }
 
     /// Tells whether the server is cold and nobody has said what it bears: nothing may go.
-    pub fn is_shut(&self, now: Moment) -> bool {
+    pub fn is_blocked(&self, now: Moment) -> bool {
         self.rate == ColdRate::Unknown && self.is_cold(now)
     }
 
     /// Returns how many requests were begun and written within the last second.
-    pub fn recent(&mut self, now: Moment) -> (usize, usize) {
+    pub fn recent_counts(&mut self, now: Moment) -> (usize, usize) {
         forget(&mut self.begun, now);
         forget(&mut self.written, now);
         (self.begun.len(), self.written.len())
@@ -115,7 +115,7 @@
     }
 
     /// Returns until when the server is cold.
-    pub fn until(&self) -> Moment {
+    pub fn cold_until(&self) -> Moment {
         self.until
     }
 }
--- a/crates/mesh/src/traffic/admission/forecast.rs
+++ b/crates/mesh/src/traffic/admission/forecast.rs
@@ -6,9 +6,9 @@
 use quetzalrack_core::time::Moment;
 
 use super::Admission;
-use super::Job;
+use super::AdmissionRequest;
 use super::Ticket;
-use super::line::Class;
+use super::wait_queue::PriorityClass;
 
 /// The share of a request's usual time that must be left at its turn. Work is spread widely around
 /// its mean, so many answers come in less.
@@ -26,11 +26,11 @@
 
 impl Admission {
     /// Returns how long a request waits for a slot.
-    pub(super) fn expected_wait(&mut self, now: Moment, job: &Job) -> Duration {
+    pub(super) fn expected_wait(&mut self, now: Moment, job: &AdmissionRequest) -> Duration {
         if self.slots == 0 {
             return Duration::ZERO;
         }
-        let cold = self.cold.wait(now).unwrap_or_default();
+        let cold = self.cold.admit_delay(now).unwrap_or_default();
         if self.running.len() < self.slots {
             return cold;
         }
@@ -44,7 +44,7 @@
     pub(super) fn finish(
         &mut self,
         now: Moment,
-        job: &Job,
+        job: &AdmissionRequest,
         wait: Duration,
         share: f64,
     ) -> Duration {
@@ -58,7 +58,7 @@
     }
 
     /// Tells whether a request that arrives now will miss its objective, by what is known.
-    pub(super) fn is_late(&mut self, now: Moment, job: &Job, wait: Duration) -> bool {
+    pub(super) fn is_late(&mut self, now: Moment, job: &AdmissionRequest, wait: Duration) -> bool {
         let left = job.objective.since(now);
         let roomy = self.finish(now, job, wait, NEEDED_AT_ARRIVAL) <= left;
         let soon = wait <= left.mul_f64(WAIT_IN_ANY_CASE);
@@ -67,9 +67,9 @@
 
     /// Tells whether a request that is late anyway would wait in vain: those before it are started
     /// too rarely.
-    pub(super) fn is_crowded(&mut self, now: Moment, job: &Job) -> bool {
+    pub(super) fn is_crowded(&mut self, now: Moment, job: &AdmissionRequest) -> bool {
         let ahead = self.ahead(job, true);
-        let class = Class {
+        let class = PriorityClass {
             rank: job.rank,
             late: true,
         };
@@ -86,13 +86,13 @@
         // A server slowed down for tenths of a second is no reason to refuse what waits already.
         let usual = self.usual_rate(self.pace.best_mean());
         let late = self.short.late().chain(self.large.late());
-        let late: Vec<(Class, Ticket, Duration)> = late
+        let late: Vec<(PriorityClass, Ticket, Duration)> = late
             .map(|(class, job)| {
                 let last_start = job.deadline.before(self.needed(job, NEEDED));
                 (class, job.ticket, last_start.since(now))
             })
             .collect();
-        let mut before: BTreeMap<Class, usize> = BTreeMap::new();
+        let mut before: BTreeMap<PriorityClass, usize> = BTreeMap::new();
         let mut vain = Vec::new();
         for (class, ticket, left) in late {
             let before = before.entry(class).or_default();
@@ -112,11 +112,11 @@
     }
 
     /// Returns how many would go before a request that is late or not.
-    fn ahead(&self, job: &Job, late: bool) -> usize {
+    fn ahead(&self, job: &AdmissionRequest, late: bool) -> usize {
         self.short.ahead(job, late) + self.large.ahead(job, late)
     }
 
-    pub(super) fn needed(&self, job: &Job, share: f64) -> Duration {
+    pub(super) fn needed(&self, job: &AdmissionRequest, share: f64) -> Duration {
         let bytes = self.sizes.large(&job.route).unwrap_or_default();
         self.pace.of(&job.route).mul_f64(share) + self.carried(bytes)
     }
--- a/crates/mesh/src/traffic/admission/mod.rs
+++ b/crates/mesh/src/traffic/admission/mod.rs
@@ -5,19 +5,19 @@
 //! servers whose parents fail with them.
 
 mod admission_machine;
-mod answered;
-mod cold_gate;
+mod admission_rates;
+mod admission_request;
 mod cold_rate;
+mod cold_start_limiter;
 mod forecast;
-mod job;
-mod line;
-mod pace;
-mod start_rates;
+mod response_sample;
+mod service_times;
+mod wait_queue;
 
 pub use admission_machine::Admission;
 pub use admission_machine::AdmissionAction;
-pub use answered::Answered;
-pub use cold_gate::ColdGate;
+pub use admission_request::AdmissionRequest;
+pub use admission_request::Ticket;
 pub use cold_rate::ColdRate;
-pub use job::Job;
-pub use job::Ticket;
+pub use cold_start_limiter::ColdStartLimiter;
+pub use response_sample::ResponseSample;
--- a/crates/mesh/src/traffic/admission/response_sample.rs
+++ b/crates/mesh/src/traffic/admission/response_sample.rs
@@ -6,11 +6,11 @@
 
 /// Is what admission learns from an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Answered<'a> {
+pub struct ResponseSample<'a> {
     /// The request's route.
     pub route: &'a RouteName,
     /// How long the server took.
-    pub time: Duration,
+    pub service_time: Duration,
     /// How long the answer is, in bytes.
     pub bytes: usize,
 }
--- a/crates/mesh/src/traffic/admission/service_times.rs
+++ b/crates/mesh/src/traffic/admission/service_times.rs
@@ -15,7 +15,7 @@
 
 /// Keeps the mean time of answers by route.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Pace {
+pub(super) struct ServiceTimes {
     routes: BTreeMap<RouteName, Means>,
     all: Option<Means>,
     time: f64,
@@ -36,7 +36,7 @@
     }
 }
 
-impl Pace {
+impl ServiceTimes {
     pub(super) fn learn(&mut self, route: &RouteName, time: Duration) {
         let time = time.as_secs_f64();
         let first = Means {
--- a/crates/mesh/src/traffic/balancing/load_balancer.rs
+++ b/crates/mesh/src/traffic/balancing/load_balancer.rs
@@ -11,11 +11,11 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use super::outlook::Outlook;
+use super::peer_stats::PeerStats;
 use crate::ownership::Directory;
 use crate::ownership::DirectoryEntry;
 use crate::ownership::NodeLoad;
-use crate::traffic::link::AnswerSizes;
+use crate::traffic::link::ResponseSizes;
 
 /// What the way to another zone counts like, in shares of a server's slots: the own zone is taken
 /// until its server is this much fuller than another.
@@ -40,20 +40,20 @@
 
 /// Chooses nodes by the fill of their servers, the way, and what became of recent requests.
 #[derive(Clone, Debug)]
-pub struct Chooser {
+pub struct LoadBalancer {
     zone: ZoneName,
-    outlooks: BTreeMap<NodeName, Outlook>,
-    sizes: AnswerSizes,
+    peers: BTreeMap<NodeName, PeerStats>,
+    sizes: ResponseSizes,
     random: ChaCha8Rng,
 }
 
-impl Chooser {
+impl LoadBalancer {
     /// Makes a chooser for a node in `zone`.
     pub fn new(zone: ZoneName, seed: u64) -> Self {
         Self {
             zone,
-            outlooks: BTreeMap::new(),
-            sizes: AnswerSizes::default(),
+            peers: BTreeMap::new(),
+            sizes: ResponseSizes::default(),
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
@@ -74,13 +74,13 @@
         let large = self.sizes.large(route).is_some();
         let mut best: Option<(f64, &NodeName)> = None;
         for (name, entry) in usable {
-            let outlook = self.outlooks.get(name);
+            let peer = self.peers.get(name);
             let chance = self.random.random::<f64>() * CHANCE;
             let link = match large {
-                true => link_cost(now, &self.zone, entry, outlook),
+                true => link_cost(now, &self.zone, entry, peer),
                 false => 0.0,
             };
-            let cost = cost(now, &self.zone, entry, outlook) + link + chance;
+            let cost = cost(now, &self.zone, entry, peer) + link + chance;
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, name));
             }
@@ -90,35 +90,41 @@
 
     /// Tells whether a node could lately not be reached.
     pub fn is_avoided(&self, now: Moment, node: &NodeName) -> bool {
-        self.outlooks
+        self.peers
             .get(node)
-            .is_some_and(|outlook| outlook.is_avoided(now))
+            .is_some_and(|peer| peer.is_avoided(now))
     }
 
     /// Learns how large an answer was.
-    pub fn answered(&mut self, route: &RouteName, bytes: usize) {
+    pub fn record_response_size(&mut self, route: &RouteName, bytes: usize) {
         self.sizes.learn(route, bytes);
     }
 
     /// Counts a request that is sent to a node.
-    pub fn sent(&mut self, node: &NodeName) {
-        self.outlooks.entry(node.clone()).or_default().sent();
+    pub fn record_sent(&mut self, node: &NodeName) {
+        self.peers.entry(node.clone()).or_default().record_sent();
     }
 
     /// Learns how a request at a node ended, and the load that came with the answer.
-    pub fn ended(&mut self, now: Moment, node: &NodeName, load: Option<NodeLoad>, failed: bool) {
-        self.outlooks
+    pub fn record_ended(
+        &mut self,
+        now: Moment,
+        node: &NodeName,
+        load: Option<NodeLoad>,
+        failed: bool,
+    ) {
+        self.peers
             .entry(node.clone())
             .or_default()
-            .ended(now, load, failed);
+            .record_ended(now, load, failed);
     }
 
     /// Learns that a node could not be reached.
-    pub fn unreachable(&mut self, now: Moment, node: &NodeName) {
-        self.outlooks
+    pub fn record_unreachable(&mut self, now: Moment, node: &NodeName) {
+        self.peers
             .entry(node.clone())
             .or_default()
-            .unreachable(now);
+            .record_unreachable(now);
     }
 }
 
@@ -131,9 +137,9 @@
     now: Moment,
     zone: &ZoneName,
     entry: &DirectoryEntry,
-    outlook: Option<&Outlook>,
+    peer: Option<&PeerStats>,
 ) -> f64 {
-    let reported = outlook.and_then(|outlook| outlook.fresh(now));
+    let reported = peer.and_then(|peer| peer.fresh(now));
     let link = reported.map_or(entry.load.link(), |load| f64::from(load.link));
     let way = match entry.member.zone == *zone {
         true => 0.0,
@@ -142,15 +148,15 @@
     link / 1_000.0 * LINK_COST + way
 }
 
-fn cost(now: Moment, zone: &ZoneName, entry: &DirectoryEntry, outlook: Option<&Outlook>) -> f64 {
-    let unknown = Outlook::default();
-    let outlook = outlook.unwrap_or(&unknown);
+fn cost(now: Moment, zone: &ZoneName, entry: &DirectoryEntry, peer: Option<&PeerStats>) -> f64 {
+    let unknown = PeerStats::default();
+    let peer = peer.unwrap_or(&unknown);
     let slots = entry
         .member
         .server
         .as_ref()
         .map_or(1, |server| server.slots);
-    let fill = outlook.fill(now, entry.load, slots);
+    let fill = peer.fill(now, entry.load, slots);
     let way = if entry.member.zone == *zone {
         0.0
     } else {
@@ -163,6 +169,6 @@
         .is_some_and(|server| server.cold);
     let cold = if cold { COLD_COST } else { 0.0 };
     // Far beyond any fill: a node that can't be reached is the last choice.
-    let away = if outlook.is_avoided(now) { 10.0 } else { 0.0 };
-    (fill - ROOMY).max(0.0) + way + cold + outlook.failures() * FAILURE_COST + away
+    let away = if peer.is_avoided(now) { 10.0 } else { 0.0 };
+    (fill - ROOMY).max(0.0) + way + cold + peer.failures() * FAILURE_COST + away
 }
--- a/crates/mesh/src/traffic/balancing/mod.rs
+++ b/crates/mesh/src/traffic/balancing/mod.rs
@@ -3,7 +3,7 @@
 //! Load pattern: unequal servers whose speed changes many times a second, seen by many nodes that
 //! each know only a part of the traffic.
 
-mod chooser;
-mod outlook;
+mod load_balancer;
+mod peer_stats;
 
-pub use chooser::Chooser;
+pub use load_balancer::LoadBalancer;
--- a/crates/mesh/src/traffic/balancing/peer_stats.rs
+++ b/crates/mesh/src/traffic/balancing/peer_stats.rs
@@ -18,7 +18,7 @@
 
 /// Keeps what this node saw of another.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Outlook {
+pub(super) struct PeerStats {
     reported: Option<(Moment, NodeLoad)>,
     /// Requests sent there and not ended, and how many of them since the last report.
     outstanding: u32,
@@ -28,13 +28,13 @@
     failures: f64,
 }
 
-impl Outlook {
-    pub(super) fn sent(&mut self) {
+impl PeerStats {
+    pub(super) fn record_sent(&mut self) {
         self.outstanding += 1;
         self.since_report += 1;
     }
 
-    pub(super) fn ended(&mut self, now: Moment, load: Option<NodeLoad>, failed: bool) {
+    pub(super) fn record_ended(&mut self, now: Moment, load: Option<NodeLoad>, failed: bool) {
         self.outstanding = self.outstanding.saturating_sub(1);
         self.since_report -= 1;
         let sample = if failed { 1.0 } else { 0.0 };
@@ -47,7 +47,7 @@
     }
 
     /// Learns that the node could not be reached; a second time doubles how long it is avoided.
-    pub(super) fn unreachable(&mut self, now: Moment) {
+    pub(super) fn record_unreachable(&mut self, now: Moment) {
         self.avoided = (self.avoided * 2).clamp(AVOIDED, AVOIDED_MOST);
         self.avoided_until = now + self.avoided;
     }
--- a/crates/mesh/src/traffic/link/link_budget.rs
+++ b/crates/mesh/src/traffic/link/link_budget.rs
@@ -37,7 +37,7 @@
     }
 
     /// Counts bytes that were written.
-    pub fn spend(&mut self, now: Moment, bytes: usize) {
+    pub fn record_written(&mut self, now: Moment, bytes: usize) {
         self.refill(now);
         self.credit -= bytes as f64;
     }
--- a/crates/mesh/src/traffic/link/link_queue.rs
+++ b/crates/mesh/src/traffic/link/link_queue.rs
@@ -14,7 +14,7 @@
 
 /// Names a long message that is being written; earlier ones have lower numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct MessageTurn(u64);
+pub struct MessageId(u64);
 
 /// Lets long messages use the link one after the other.
 ///
@@ -24,7 +24,7 @@
 pub struct LinkQueue {
     budget: LinkBudget,
     newest: u64,
-    waiting: BTreeSet<MessageTurn>,
+    waiting: BTreeSet<MessageId>,
 }
 
 impl LinkQueue {
@@ -38,31 +38,31 @@
     }
 
     /// Gives a long message its place.
-    pub fn begin(&mut self) -> MessageTurn {
+    pub fn add(&mut self) -> MessageId {
         self.newest += 1;
-        MessageTurn(self.newest)
+        MessageId(self.newest)
     }
 
     /// Returns how many bytes of a message may be written now; none if it has to wait for its turn.
-    pub fn ask(&mut self, now: Moment, turn: MessageTurn) -> Option<usize> {
+    pub fn request_write(&mut self, now: Moment, turn: MessageId) -> Option<usize> {
         self.waiting.insert(turn);
         let is_first = self.waiting.first() == Some(&turn);
         (is_first && self.budget.wait(now).is_none()).then_some(PIECE)
     }
 
     /// Counts bytes that were written, of long and short messages alike.
-    pub fn spend(&mut self, now: Moment, bytes: usize) {
-        self.budget.spend(now, bytes);
+    pub fn record_written(&mut self, now: Moment, bytes: usize) {
+        self.budget.record_written(now, bytes);
     }
 
     /// Takes a message out: it is written whole, given up, or its receiver takes no more for now. A
     /// slow receiver must not hold up the others.
-    pub fn leave(&mut self, turn: MessageTurn) {
+    pub fn remove(&mut self, turn: MessageId) {
         self.waiting.remove(&turn);
     }
 
     /// Returns which message goes next, and how long until then.
-    pub fn next(&mut self, now: Moment) -> Option<(MessageTurn, Duration)> {
+    pub fn next(&mut self, now: Moment) -> Option<(MessageId, Duration)> {
         let first = *self.waiting.first()?;
         Some((first, self.budget.wait(now).unwrap_or_default()))
     }
--- a/crates/mesh/src/traffic/link/response_sizes.rs
+++ b/crates/mesh/src/traffic/link/response_sizes.rs
@@ -13,11 +13,11 @@
 
 /// Keeps the mean size of answers by route.
 #[derive(Clone, Debug, Default)]
-pub struct AnswerSizes {
+pub struct ResponseSizes {
     routes: BTreeMap<RouteName, f64>,
 }
 
-impl AnswerSizes {
+impl ResponseSizes {
     /// Learns from an answer.
     pub fn learn(&mut self, route: &RouteName, bytes: usize) {
         let bytes = bytes as f64;
--- a/crates/mesh/src/traffic/mod.rs
+++ b/crates/mesh/src/traffic/mod.rs
@@ -1,15 +1,15 @@
 //! How requests wait, are refused, placed and tried again.
 
 pub mod admission;
-pub mod choice;
+pub mod balancing;
 mod key_counter;
 pub mod link;
-mod not_run;
+mod owner_hint;
 pub mod owner_wait;
-mod owner_word;
+mod refusal_reason;
 pub mod retry;
 
 pub use key_counter::KeyCounter;
-pub use not_run::NotRun;
-pub use owner_word::OwnerWord;
-pub use owner_word::ParseOwnerWordError;
+pub use owner_hint::OwnerHint;
+pub use owner_hint::ParseOwnerHintError;
+pub use refusal_reason::RefusalReason;
--- a/crates/mesh/src/traffic/owner_hint.rs
+++ b/crates/mesh/src/traffic/owner_hint.rs
@@ -14,7 +14,7 @@
 /// A node that has just released a key hears of the next owner with its next order; the node that sent the
 /// request may hear of it a whole beat later.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OwnerWord {
+pub struct OwnerHint {
     /// The epoch of the table.
     pub epoch: Epoch,
     /// The version of its owners.
@@ -27,9 +27,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("not an owner of a key: {0:?}")]
-pub struct ParseOwnerWordError(String);
+pub struct ParseOwnerHintError(String);
 
-impl OwnerWord {
+impl OwnerHint {
     /// Returns the word of a node with this table, if it names an owner.
     pub fn of(directory: &Directory, service: &ServiceName, key: u16) -> Option<Self> {
         let node = directory.owner(service, key)?.clone();
@@ -46,14 +46,14 @@
     }
 }
 
-impl fmt::Display for OwnerWord {
+impl fmt::Display for OwnerHint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}/{}", self.epoch, self.version, self.node)
     }
 }
 
-impl FromStr for OwnerWord {
-    type Err = ParseOwnerWordError;
+impl FromStr for OwnerHint {
+    type Err = ParseOwnerHintError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let parse = || {
@@ -64,6 +64,6 @@
                 node: parts.next()?.parse().ok()?,
             })
         };
-        parse().ok_or_else(|| ParseOwnerWordError(text.to_owned()))
+        parse().ok_or_else(|| ParseOwnerHintError(text.to_owned()))
     }
 }
--- a/crates/mesh/src/traffic/owner_wait.rs
+++ b/crates/mesh/src/traffic/owner_wait.rs
@@ -40,7 +40,7 @@
 impl OwnerWait {
     /// Returns how long a request waits that has `left` until its deadline: nothing if one before it has
     /// waited in vain, and the owners have not changed since.
-    pub fn span(
+    pub fn max_wait(
         &self,
         now: Moment,
         directory: &Directory,
@@ -58,7 +58,7 @@
     }
 
     /// Learns that a request has waited for `waited`, and its key has no owner still.
-    pub fn in_vain(
+    pub fn record_timeout(
         &mut self,
         now: Moment,
         directory: &Directory,
--- a/crates/mesh/src/traffic/refusal_reason.rs
+++ b/crates/mesh/src/traffic/refusal_reason.rs
@@ -5,7 +5,7 @@
 
 /// Says why a request was surely not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum NotRun {
+pub enum RefusalReason {
     /// No backend server of the service is known beside the node.
     NoServer,
     /// The backend server is cold, and the node does not know the operators' document that says what
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("not a reason for a refusal: {0:?}")]
-pub struct ParseNotRunError(String);
+pub struct ParseRefusalReasonError(String);
 
-impl NotRun {
+impl RefusalReason {
     const ALL: [(Self, &'static str); 9] = [
         (Self::NoServer, "no_server"),
         (Self::NoDocument, "no_document"),
@@ -53,19 +53,19 @@
     }
 }
 
-impl fmt::Display for NotRun {
+impl fmt::Display for RefusalReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.name())
     }
 }
 
-impl FromStr for NotRun {
-    type Err = ParseNotRunError;
+impl FromStr for RefusalReason {
+    type Err = ParseRefusalReasonError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let found = Self::ALL.iter().find(|(_, name)| *name == text);
         found
             .map(|(reason, _)| *reason)
-            .ok_or_else(|| ParseNotRunError(text.to_owned()))
+            .ok_or_else(|| ParseRefusalReasonError(text.to_owned()))
     }
 }
--- a/crates/mesh/src/traffic/retry/mod.rs
+++ b/crates/mesh/src/traffic/retry/mod.rs
@@ -3,6 +3,6 @@
 //! Load pattern: a service whose servers fail or refuse part of their requests, or all of them at
 //! once; each second attempt is load on the ones that are left.
 
-mod budget;
+mod retry_budget;
 
-pub use budget::RetryBudget;
+pub use retry_budget::RetryBudget;
--- a/crates/mesh/src/traffic/retry/retry_budget.rs
+++ b/crates/mesh/src/traffic/retry/retry_budget.rs
@@ -42,7 +42,7 @@
     }
 
     /// Counts a request that has reached a server for the first time.
-    pub fn count(&mut self, now: Moment) {
+    pub fn deposit(&mut self, now: Moment) {
         self.requests.push_back(now);
         self.age(now);
     }
@@ -50,7 +50,7 @@
     /// Takes one second attempt, if the budget has one for one of `nodes` nodes. Each keeps to its
     /// part of the slack: a part that didn't shrink with their number would in a large fleet add up
     /// to more than all may spend.
-    pub fn take(&mut self, now: Moment, nodes: usize) -> bool {
+    pub fn withdraw(&mut self, now: Moment, nodes: usize) -> bool {
         self.age(now);
         let slack = self.slack / nodes.max(1) as f64;
         let allowed = self.requests.len() as f64 * self.ratio + slack;
--- a/crates/mesh/tests/admission.rs
+++ b/crates/mesh/tests/admission.rs
@@ -5,12 +5,12 @@
 
 use quetzalrack_core::ids::RouteName;
 use quetzalrack_core::time::Moment;
-use quetzalrack_mesh::traffic::NotRun;
+use quetzalrack_mesh::traffic::RefusalReason;
 use quetzalrack_mesh::traffic::admission::Admission;
 use quetzalrack_mesh::traffic::admission::AdmissionAction;
-use quetzalrack_mesh::traffic::admission::Answered;
+use quetzalrack_mesh::traffic::admission::AdmissionRequest;
 use quetzalrack_mesh::traffic::admission::ColdRate;
-use quetzalrack_mesh::traffic::admission::Job;
+use quetzalrack_mesh::traffic::admission::ResponseSample;
 use quetzalrack_mesh::traffic::admission::Ticket;
 use rand::Rng;
 use rand::SeedableRng;
@@ -26,8 +26,8 @@
     "route".parse().unwrap()
 }
 
-fn job(ticket: u64, now: u64, rank: u32) -> Job {
-    Job {
+fn job(ticket: u64, now: u64, rank: u32) -> AdmissionRequest {
+    AdmissionRequest {
         ticket: Ticket(ticket),
         route: route(),
         rank,
@@ -36,9 +36,13 @@
     }
 }
 
-fn answered(route: &RouteName, time: Duration) -> Answered<'_> {
+fn answered(route: &RouteName, time: Duration) -> ResponseSample<'_> {
     let bytes = 400;
-    Answered { route, time, bytes }
+    ResponseSample {
+        route,
+        service_time: time,
+        bytes,
+    }
 }
 
 fn admission(slots: usize) -> Admission {
@@ -57,7 +61,7 @@
 
 fn started(actions: &[AdmissionAction]) -> Vec<u64> {
     let started = actions.iter().filter_map(|action| match action {
-        AdmissionAction::Start(ticket) => Some(ticket.0),
+        AdmissionAction::Admit(ticket) => Some(ticket.0),
         AdmissionAction::Refuse(..) => None,
     });
     started.collect()
@@ -100,7 +104,7 @@
             arrived.insert(ticket, ms);
             actions.extend(admission.arrive(at(ms), job(ticket, ms, 1)));
         }
-        actions.extend(admission.pump(at(ms)));
+        actions.extend(admission.dispatch(at(ms)));
         for started in started(&actions) {
             let work = random.random_range(60..=140);
             running.push((ms + work, started, ms));
@@ -125,7 +129,7 @@
     admission.arrive(at(0), job(2, 0, 1));
     let refused = admission.arrive(at(1), job(3, 1, 1));
     match refused.as_slice() {
-        [AdmissionAction::Refuse(Ticket(3), NotRun::Full, back)] => {
+        [AdmissionAction::Refuse(Ticket(3), RefusalReason::Full, back)] => {
             assert!(*back >= Duration::from_millis(150));
         }
         other => panic!("{other:?}"),
@@ -137,14 +141,14 @@
 #[test]
 fn cold_server() {
     let mut admission = admission(18);
-    admission.cold().set_rate(cold_rate(25.0));
-    admission.cold().set_cold(at(60_000));
+    admission.cold_limiter().set_rate(cold_rate(25.0));
+    admission.cold_limiter().set_cold_until(at(60_000));
     let mut sent: Vec<u64> = Vec::new();
     let mut ticket = 0;
     for ms in 0..5_000 {
         ticket += 1;
         let mut actions = admission.arrive(at(ms), job(ticket, ms, 1));
-        actions.extend(admission.pump(at(ms)));
+        actions.extend(admission.dispatch(at(ms)));
         for started in started(&actions) {
             sent.push(ms);
             admission.end(
@@ -174,7 +178,7 @@
         for ms in (from..to).step_by(5) {
             let ticket = ms;
             let mut actions = admission.arrive(at(ms), job(ticket, ms, 1));
-            actions.extend(admission.pump(at(ms)));
+            actions.extend(admission.dispatch(at(ms)));
             for ticket in started(&actions) {
                 sent.push(ms);
                 let answer = answered(&of, Duration::from_millis(1));
@@ -185,9 +189,9 @@
     };
     let cold = |started: u64| {
         let mut admission = admission(10);
-        admission.cold().start(at(started));
-        admission.cold().set_rate(cold_rate(35.0));
-        admission.cold().set_cold(at(60_000));
+        admission.cold_limiter().block_first_window(at(started));
+        admission.cold_limiter().set_rate(cold_rate(35.0));
+        admission.cold_limiter().set_cold_until(at(60_000));
         admission
     };
     let mut sent = run(&mut cold(0), 1_100, 1_500);
@@ -209,15 +213,15 @@
 #[test]
 fn slow_dials() {
     let mut admission = admission(18);
-    admission.cold().set_rate(ColdRate::PerSecond {
+    admission.cold_limiter().set_rate(ColdRate::PerSecond {
         begun: 35.0,
         most: 42.5,
     });
-    admission.cold().set_cold(at(60_000));
+    admission.cold_limiter().set_cold_until(at(60_000));
     let mut random = ChaCha8Rng::seed_from_u64(22);
     let (mut opening, mut written) = (Vec::<(u64, u64)>::new(), Vec::<u64>::new());
     for ms in 0..10_000 {
-        let mut actions = admission.pump(at(ms));
+        let mut actions = admission.dispatch(at(ms));
         if ms % 5 == 0 {
             actions.extend(admission.arrive(at(ms), job(ms, ms, 1)));
         }
@@ -230,7 +234,7 @@
         let (open, rest): (Vec<_>, Vec<_>) = opening.into_iter().partition(|(at, _)| *at <= ms);
         opening = rest;
         for (_, ticket) in open {
-            match admission.cold().write(at(ms)) {
+            match admission.cold_limiter().try_send(at(ms)) {
                 Some(wait) => opening.push((ms + 1 + wait.as_millis() as u64, ticket)),
                 None => {
                     written.push(ms);
@@ -256,20 +260,20 @@
 #[test]
 fn cold_without_rate() {
     let mut admission = admission(18);
-    admission.cold().set_cold(at(5_000));
+    admission.cold_limiter().set_cold_until(at(5_000));
     for ticket in 0..50 {
         assert!(started(&admission.arrive(at(ticket), job(ticket, ticket, 1))).is_empty());
     }
-    assert!(admission.cold().is_shut(at(60)));
-    admission.cold().set_rate(cold_rate(20.0));
-    assert_eq!(started(&admission.pump(at(60))).len(), 18);
+    assert!(admission.cold_limiter().is_blocked(at(60)));
+    admission.cold_limiter().set_rate(cold_rate(20.0));
+    assert_eq!(started(&admission.dispatch(at(60))).len(), 18);
 }
 
 /// Guards against a warm server without work while nobody has said what a cold one bears.
 #[test]
 fn warm_without_rate() {
     let mut admission = admission(18);
-    admission.cold().set_cold(at(100));
+    admission.cold_limiter().set_cold_until(at(100));
     assert_eq!(started(&admission.arrive(at(200), job(1, 200, 1))), [1]);
 }
 
@@ -279,7 +283,7 @@
     let mut admission = admission(1);
     admission.arrive(at(0), job(1, 0, 1));
     admission.arrive(at(1), job(2, 1, 1));
-    admission.withdraw(Ticket(2));
+    admission.cancel(Ticket(2));
     assert_eq!(admission.waiting(), 0);
     assert!(started(&admission.end(at(50), Ticket(1), None)).is_empty());
 }
@@ -315,7 +319,7 @@
                 ticket += 1;
                 jobs.insert(ticket, route.clone());
                 calls += u64::from(rank == 1);
-                let job = Job {
+                let job = AdmissionRequest {
                     ticket: Ticket(ticket),
                     route: route.clone(),
                     rank,
@@ -325,10 +329,10 @@
                 actions.extend(admission.arrive(at(ms), job));
             }
         }
-        actions.extend(admission.pump(at(ms)));
+        actions.extend(admission.dispatch(at(ms)));
         for action in &actions {
             match action {
-                AdmissionAction::Start(Ticket(started)) => {
+                AdmissionAction::Admit(Ticket(started)) => {
                     let usual = if jobs[started] == call { 56 } else { 180 };
                     let work = random.random_range(usual / 2..usual * 3 / 2);
                     running.push((ms + work, *started, ms));
@@ -362,18 +366,18 @@
         }
         if random.random_bool(0.028) {
             ticket += 1;
-            let job = Job {
+            let job = AdmissionRequest {
                 objective: at(ms + 500),
                 deadline: at(ms + 1_200),
                 ..job(ticket, ms, 1)
             };
             actions.extend(admission.arrive(at(ms), job));
         }
-        actions.extend(admission.pump(at(ms)));
+        actions.extend(admission.dispatch(at(ms)));
         let slow = if ms % 2_000 < 400 { 3 } else { 1 };
         for action in &actions {
             match action {
-                AdmissionAction::Start(Ticket(started)) => {
+                AdmissionAction::Admit(Ticket(started)) => {
                     let work = random.random_range(80..240) * slow;
                     running.push((ms + work, *started, ms));
                 }
@@ -408,10 +412,10 @@
             arrived.insert(ticket, ms);
             actions.extend(admission.arrive(at(ms), job(ticket, ms, 1)));
         }
-        actions.extend(admission.pump(at(ms)));
+        actions.extend(admission.dispatch(at(ms)));
         for action in &actions {
             match action {
-                AdmissionAction::Start(Ticket(started)) => {
+                AdmissionAction::Admit(Ticket(started)) => {
                     let work = random.random_range(20..=180);
                     running.push((ms + work, *started, ms));
                 }
--- a/crates/mesh/tests/choice.rs
+++ b/crates/mesh/tests/choice.rs
@@ -11,7 +11,7 @@
 use quetzalrack_mesh::ownership::NodeLife;
 use quetzalrack_mesh::ownership::NodeLoad;
 use quetzalrack_mesh::ownership::ServerCard;
-use quetzalrack_mesh::traffic::choice::Chooser;
+use quetzalrack_mesh::traffic::balancing::LoadBalancer;
 
 const NOW: Moment = Moment(1_000_000_000);
 
@@ -63,7 +63,7 @@
     directory
 }
 
-fn share(directory: &Directory, chooser: &mut Chooser, node: &str) -> f64 {
+fn share(directory: &Directory, chooser: &mut LoadBalancer, node: &str) -> f64 {
     let service = "orders".parse().unwrap();
     let chosen = (0..1_000).filter(|_| {
         let chosen = chooser.choose(NOW, directory, &service, &route(), &[]);
@@ -76,8 +76,8 @@
     "route".parse().unwrap()
 }
 
-fn chooser() -> Chooser {
-    Chooser::new("zone-0".parse().unwrap(), 1)
+fn chooser() -> LoadBalancer {
+    LoadBalancer::new("zone-0".parse().unwrap(), 1)
 }
 
 /// The own zone's server has room: bytes stay in the zone.
@@ -102,8 +102,8 @@
     let mut chooser = chooser();
     for _ in 0..20 {
         let node = "node-0".parse().unwrap();
-        chooser.sent(&node);
-        chooser.ended(NOW, &node, Some(NodeLoad::default()), true);
+        chooser.record_sent(&node);
+        chooser.record_ended(NOW, &node, Some(NodeLoad::default()), true);
     }
     assert!(share(&directory, &mut chooser, "node-0") < 0.01);
 }
@@ -113,7 +113,7 @@
 fn unreachable_node() {
     let two = directory(&[0, 9]);
     let mut chooser = chooser();
-    chooser.unreachable(NOW, &"node-0".parse().unwrap());
+    chooser.record_unreachable(NOW, &"node-0".parse().unwrap());
     assert!(share(&two, &mut chooser, "node-0") < 0.01);
     let one = directory(&[0]);
     assert!(share(&one, &mut chooser, "node-0") > 0.99);
@@ -145,7 +145,7 @@
         directory.members.get_mut(&node).unwrap().load = load(0, waits_ms).into();
         let mut chooser = chooser();
         assert!(share(&directory, &mut chooser, "node-0") > 0.99);
-        chooser.answered(&route(), 90_000);
+        chooser.record_response_size(&route(), 90_000);
         let share = share(&directory, &mut chooser, "node-0");
         let expected = if stays { share > 0.99 } else { share < 0.01 };
         assert!(expected, "{waits_ms} ms at the link: {share}");
--- a/crates/mesh/tests/link.rs
+++ b/crates/mesh/tests/link.rs
@@ -6,7 +6,7 @@
 use quetzalrack_core::time::Moment;
 use quetzalrack_mesh::model::LinkRate;
 use quetzalrack_mesh::traffic::link::LinkQueue;
-use quetzalrack_mesh::traffic::link::MessageTurn;
+use quetzalrack_mesh::traffic::link::MessageId;
 
 /// Bytes a millisecond at 10 Mbit/s.
 const LINK: f64 = 1_250.0;
@@ -46,26 +46,26 @@
 fn short_answers() {
     let mut queue = queue();
     let mut link = Link::default();
-    let mut long: VecDeque<(MessageTurn, usize)> = (0..16).map(|_| (queue.begin(), LONG)).collect();
+    let mut long: VecDeque<(MessageId, usize)> = (0..16).map(|_| (queue.add(), LONG)).collect();
     let (mut finished, mut ms) = (Vec::new(), 0);
     while !long.is_empty() {
         if ms % 10 == 0 {
-            queue.spend(at(ms), SHORT);
+            queue.record_written(at(ms), SHORT);
             link.write(SHORT);
         }
         for (turn, left) in &mut long {
             while *left > 0
-                && let Some(allowed) = queue.ask(at(ms), *turn)
+                && let Some(allowed) = queue.request_write(at(ms), *turn)
             {
                 let piece = allowed.min(*left);
-                queue.spend(at(ms), piece);
+                queue.record_written(at(ms), piece);
                 link.write(piece);
                 *left -= piece;
             }
         }
         while long.front().is_some_and(|(_, left)| *left == 0) {
             let (turn, _) = long.pop_front().unwrap();
-            queue.leave(turn);
+            queue.remove(turn);
             finished.push(ms);
         }
         link.pass();
@@ -84,12 +84,12 @@
 #[test]
 fn slow_receiver() {
     let mut queue = queue();
-    let (first, second) = (queue.begin(), queue.begin());
-    assert!(queue.ask(at(0), first).is_some());
-    assert!(queue.ask(at(0), second).is_none());
-    queue.leave(first);
-    assert!(queue.ask(at(0), second).is_some());
+    let (first, second) = (queue.add(), queue.add());
+    assert!(queue.request_write(at(0), first).is_some());
+    assert!(queue.request_write(at(0), second).is_none());
+    queue.remove(first);
+    assert!(queue.request_write(at(0), second).is_some());
     // It takes bytes again, and its turn is the earlier one.
-    assert!(queue.ask(at(0), first).is_some());
+    assert!(queue.request_write(at(0), first).is_some());
     assert_eq!(queue.next(at(0)).unwrap().0, first);
 }
--- a/crates/mesh/tests/owner_wait.rs
+++ b/crates/mesh/tests/owner_wait.rs
@@ -30,12 +30,12 @@
         vain.retain(|(end, key, span)| {
             let over = *end <= ms;
             if over {
-                waits.in_vain(at(ms), &directory, &service(), *key, *span);
+                waits.record_timeout(at(ms), &directory, &service(), *key, *span);
             }
             !over
         });
         let key = u16::try_from(ms * 21 % 65_536).unwrap();
-        let span = waits.span(at(ms), &directory, &service(), key, LEFT);
+        let span = waits.max_wait(at(ms), &directory, &service(), key, LEFT);
         if span > Duration::ZERO {
             held += 1;
             vain.push((ms + u64::try_from(span.as_millis()).unwrap(), key, span));
@@ -53,13 +53,13 @@
     let mut directory = Directory::default();
     let rows = vec![(keys, "node".parse().unwrap())];
     directory.owners.insert(service(), rows);
-    let span = waits.span(at(0), &directory, &service(), 20_000, LEFT);
-    waits.in_vain(at(350), &directory, &service(), 20_000, span);
-    let lost = waits.span(at(360), &directory, &service(), 20_010, LEFT);
-    let moving = waits.span(at(360), &directory, &service(), 40_000, LEFT);
+    let span = waits.max_wait(at(0), &directory, &service(), 20_000, LEFT);
+    waits.record_timeout(at(350), &directory, &service(), 20_000, span);
+    let lost = waits.max_wait(at(360), &directory, &service(), 20_010, LEFT);
+    let moving = waits.max_wait(at(360), &directory, &service(), 40_000, LEFT);
     assert_eq!((lost, moving), (Duration::ZERO, Duration::from_millis(350)));
     // The owners change: the lost keys may be among what was given away.
     directory.version += 1;
-    let again = waits.span(at(400), &directory, &service(), 20_010, LEFT);
+    let again = waits.max_wait(at(400), &directory, &service(), 20_010, LEFT);
     assert_eq!(again, Duration::from_millis(350));
 }
--- a/crates/mesh/tests/owner_word.rs
+++ b/crates/mesh/tests/owner_word.rs
@@ -4,7 +4,7 @@
 use quetzalrack_mesh::model::KeyRange;
 use quetzalrack_mesh::ownership::Directory;
 use quetzalrack_mesh::ownership::Epoch;
-use quetzalrack_mesh::traffic::OwnerWord;
+use quetzalrack_mesh::traffic::OwnerHint;
 
 fn directory(epoch: u64, version: u64, owner: &str) -> Directory {
     let keys = KeyRange::new(0, 9_999).unwrap();
@@ -22,7 +22,7 @@
 /// with later news than one's own counts.
 #[test]
 fn later_news() {
-    let word = OwnerWord::of(&directory(256, 7, "node-2"), &"keyed".parse().unwrap(), 5).unwrap();
+    let word = OwnerHint::of(&directory(256, 7, "node-2"), &"keyed".parse().unwrap(), 5).unwrap();
     assert!(word.is_newer(&directory(256, 6, "node-1")));
     assert!(word.is_newer(&directory(1, 9, "node-1")));
     assert!(!word.is_newer(&directory(256, 7, "node-2")));
@@ -32,12 +32,12 @@
 /// Guards against words that change on their way between nodes.
 #[test]
 fn on_its_way() {
-    let word = OwnerWord::of(&directory(256, 7, "node-2"), &"keyed".parse().unwrap(), 5);
+    let word = OwnerHint::of(&directory(256, 7, "node-2"), &"keyed".parse().unwrap(), 5);
     let read = word.as_ref().map(|word| word.to_string().parse());
     assert_eq!(read, word.map(Ok));
-    assert!("256/7".parse::<OwnerWord>().is_err());
+    assert!("256/7".parse::<OwnerHint>().is_err());
     assert_eq!(
-        OwnerWord::of(
+        OwnerHint::of(
             &directory(256, 7, "node-2"),
             &"keyed".parse().unwrap(),
             10_000
--- a/crates/mesh/tests/retry_budget.rs
+++ b/crates/mesh/tests/retry_budget.rs
@@ -28,13 +28,13 @@
     for ms in 0..10_000 {
         let node = ms as usize % nodes;
         let now = at(ms);
-        proofs[node].count(now);
-        let runs = 1 + u32::from(proofs[node].take(now, nodes));
+        proofs[node].deposit(now);
+        let runs = 1 + u32::from(proofs[node].withdraw(now, nodes));
         for run in 0..runs {
-            calls[node].count(now);
+            calls[node].deposit(now);
             first += u32::from(run == 0);
             repeats += u32::from(run > 0);
-            repeats += u32::from(calls[node].take(now, nodes));
+            repeats += u32::from(calls[node].withdraw(now, nodes));
         }
     }
     (f64::from(repeats), f64::from(first) * RATIO + slack)
@@ -64,13 +64,13 @@
     for number in 0..400 {
         let (node, now) = (number % 16, at(number as u64 * 25));
         let caller = &mut callers[number / 16 % 3][node];
-        caller.count(now);
-        let runs = 1 + u32::from(caller.take(now, 16));
+        caller.deposit(now);
+        let runs = 1 + u32::from(caller.withdraw(now, 16));
         for run in 0..runs {
-            called[node].count(now);
+            called[node].deposit(now);
             first += u32::from(run == 0);
             repeats += u32::from(run > 0);
-            repeats += u32::from(called[node].take(now, 16));
+            repeats += u32::from(called[node].withdraw(now, 16));
         }
     }
     let allowed = f64::from(first) * RATIO + SLACK;
@@ -85,12 +85,12 @@
 fn old_spending() {
     let mut budget = RetryBudget::new(RATIO, WINDOW, 0.0);
     for ms in 0..100 {
-        budget.count(at(ms));
+        budget.deposit(at(ms));
     }
-    while budget.take(at(100), 1) {}
-    assert!(!budget.take(at(101), 1));
+    while budget.withdraw(at(100), 1) {}
+    assert!(!budget.withdraw(at(101), 1));
     for ms in 10_200..10_300 {
-        budget.count(at(ms));
+        budget.deposit(at(ms));
     }
-    assert!(budget.take(at(10_300), 1));
+    assert!(budget.withdraw(at(10_300), 1));
 }
--- a/crates/rack/src/metrics/metrics_page.rs
+++ b/crates/rack/src/metrics/metrics_page.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
-use quetzalrack_mesh::traffic::NotRun;
+use quetzalrack_mesh::traffic::RefusalReason;
 
 /// The quantiles that are shown.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 0.999];
@@ -34,7 +34,7 @@
     }
 
     /// Counts a job that surely did not run here.
-    pub fn not_run(&self, reason: NotRun) {
+    pub fn not_run(&self, reason: RefusalReason) {
         self.add("egress_not_run_total", &label("reason", reason.name()));
     }
 
--- a/crates/rack/src/traffic/egress/egress_node.rs
+++ b/crates/rack/src/traffic/egress/egress_node.rs
@@ -15,8 +15,8 @@
 use quetzalrack_mesh::model::TimeBounds;
 use quetzalrack_mesh::ownership::NodeLoad;
 use quetzalrack_mesh::traffic::KeyCounter;
-use quetzalrack_mesh::traffic::NotRun;
-use quetzalrack_mesh::traffic::OwnerWord;
+use quetzalrack_mesh::traffic::OwnerHint;
+use quetzalrack_mesh::traffic::RefusalReason;
 use quetzalrack_mesh::traffic::admission::Admission;
 use quetzalrack_mesh::traffic::admission::ColdRate;
 
@@ -89,7 +89,7 @@
         });
         egress.turns.update(|admission| {
             admission.set_link(link);
-            admission.cold().start(clock::now());
+            admission.cold_limiter().block_first_window(clock::now());
         });
         tokio::task::spawn_local(Rc::clone(&egress.turns).watch());
         egress
@@ -102,7 +102,7 @@
         self.note(job, &outcome);
         let view = self.board.view();
         let refused = job.key.filter(|_| matches!(outcome, Outcome::NotRun(..)));
-        let owner = refused.and_then(|key| OwnerWord::of(&view.directory, &job.service, key));
+        let owner = refused.and_then(|key| OwnerHint::of(&view.directory, &job.service, key));
         Report {
             outcome,
             load: Some(self.load()),
@@ -185,20 +185,20 @@
     }
 
     /// Returns the server if it may get a job now.
-    fn usable<'a>(&self, view: &'a NodeView, job: &Job) -> Result<&'a ServerView, NotRun> {
-        let server = view.server.as_ref().ok_or(NotRun::NoServer)?;
+    fn usable<'a>(&self, view: &'a NodeView, job: &Job) -> Result<&'a ServerView, RefusalReason> {
+        let server = view.server.as_ref().ok_or(RefusalReason::NoServer)?;
         if job.service != self.service {
-            return Err(NotRun::NoServer);
+            return Err(RefusalReason::NoServer);
         }
         if self.link.is_closed(server.heard_at) {
-            return Err(NotRun::Unreachable);
+            return Err(RefusalReason::Unreachable);
         }
-        let shut = |admission: &mut Admission| admission.cold().is_shut(clock::now());
+        let shut = |admission: &mut Admission| admission.cold_limiter().is_blocked(clock::now());
         if self.turns.ask(shut) {
-            return Err(NotRun::NoDocument);
+            return Err(RefusalReason::NoDocument);
         }
         if server.draining || view.intent.evacuated.contains(&self.zone) {
-            return Err(NotRun::Draining);
+            return Err(RefusalReason::Draining);
         }
         let keyed = view
             .intent
@@ -207,10 +207,10 @@
             .and_then(|config| config.services.get(&self.service));
         match job.key {
             // Whether the server may run it follows from what the document says of its service.
-            Some(_) if view.intent.config.is_none() => Err(NotRun::NoDocument),
+            Some(_) if view.intent.config.is_none() => Err(RefusalReason::NoDocument),
             Some(key) if keyed.is_some_and(|service| service.keyed) => {
                 let holds = server.holds(clock::now(), key);
-                holds.then_some(server).ok_or(NotRun::NotOwner)
+                holds.then_some(server).ok_or(RefusalReason::NotOwner)
             }
             _ => Ok(server),
         }
@@ -229,15 +229,15 @@
         let doubted = self.link.is_doubted(server.heard_at);
         self.turns.update(|admission| {
             admission.set_slots(server.slots);
-            let cold = admission.cold();
+            let cold = admission.cold_limiter();
             cold.set_rate(rate);
-            cold.set_doubted(doubted);
+            cold.set_maybe_restarted(doubted);
             if reborn {
-                cold.set_cold(server.cold_until);
+                cold.set_cold_until(server.cold_until);
             } else if returned {
-                cold.set_cold(server.cold_until.max(now + AFTER_EVACUATION));
+                cold.set_cold_until(server.cold_until.max(now + AFTER_EVACUATION));
             } else if server.cold_until > now {
-                cold.set_cold(server.cold_until);
+                cold.set_cold_until(server.cold_until);
             }
         });
     }
--- a/crates/rack/src/traffic/egress/noting.rs
+++ b/crates/rack/src/traffic/egress/noting.rs
@@ -17,9 +17,10 @@
     /// Writes a line for each second in which a cold server got requests.
     pub(super) fn note_cold(&self, now: Moment, view: &NodeView) {
         let cold = self.turns.ask(|admission| {
-            let cold = admission.cold();
-            let (begun, written) = cold.recent(now);
-            (cold.is_cold(now) && written > 0).then(|| (begun, written, cold.rate(), cold.until()))
+            let cold = admission.cold_limiter();
+            let (begun, written) = cold.recent_counts(now);
+            (cold.is_cold(now) && written > 0)
+                .then(|| (begun, written, cold.rate(), cold.cold_until()))
         });
         let due = now.since(self.cold_line.get()) >= COLD_LINE;
         if let (Some((begun, written, rate, until)), Some(server), true) = (cold, &view.server, due)
--- a/crates/rack/src/traffic/egress/server_link.rs
+++ b/crates/rack/src/traffic/egress/server_link.rs
@@ -14,7 +14,7 @@
 use quetzalrack_core::time::Moment;
 use quetzalrack_mesh::model::ServerId;
 use quetzalrack_mesh::model::WorkKind;
-use quetzalrack_mesh::traffic::NotRun;
+use quetzalrack_mesh::traffic::RefusalReason;
 use quetzalrack_platform::request::AnswerHeaders;
 use quetzalrack_platform::request::ServerStamp;
 use quetzalrack_platform::request::stamp;
@@ -161,7 +161,7 @@
                 }
                 self.pool.forget(address);
                 (
-                    Outcome::NotRun(NotRun::Unreachable, AFTER_REFUSAL),
+                    Outcome::NotRun(RefusalReason::Unreachable, AFTER_REFUSAL),
                     Told::default(),
                 )
             }
@@ -173,7 +173,7 @@
                 (Outcome::Lost(Lost::Broken), Told::default())
             }
             Err(_) if !gate.is_passed() => (
-                Outcome::NotRun(NotRun::Expired, AFTER_REFUSAL),
+                Outcome::NotRun(RefusalReason::Expired, AFTER_REFUSAL),
                 Told::default(),
             ),
             Err(_) => (Outcome::Lost(Lost::TimedOut), Told::default()),
@@ -192,7 +192,10 @@
             return (Outcome::Lost(Lost::Foreign), told);
         }
         if said.not_run {
-            return (Outcome::NotRun(NotRun::ServerRefused, AFTER_REFUSAL), told);
+            return (
+                Outcome::NotRun(RefusalReason::ServerRefused, AFTER_REFUSAL),
+                told,
+            );
         }
         let status = answer.status();
         // An answer without a server's proof, or in an encoding that nobody asked for, is not the
--- a/crates/rack/src/traffic/egress/turn.rs
+++ b/crates/rack/src/traffic/egress/turn.rs
@@ -7,11 +7,11 @@
 
 use quetzalrack_core::ids::RouteName;
 use quetzalrack_core::time::Moment;
-use quetzalrack_mesh::traffic::NotRun;
+use quetzalrack_mesh::traffic::RefusalReason;
 use quetzalrack_mesh::traffic::admission::Admission;
 use quetzalrack_mesh::traffic::admission::AdmissionAction;
-use quetzalrack_mesh::traffic::admission::Answered;
-use quetzalrack_mesh::traffic::admission::Job as Waiting;
+use quetzalrack_mesh::traffic::admission::AdmissionRequest;
+use quetzalrack_mesh::traffic::admission::ResponseSample;
 use quetzalrack_mesh::traffic::admission::Ticket;
 use tokio::sync::Notify;
 use tokio::sync::oneshot;
@@ -22,7 +22,7 @@
 /// How often waiting requests are looked at while nothing else happens: some become hopeless.
 const LOOK: Duration = Duration::from_millis(25);
 
-type Verdict = Result<(), (NotRun, Duration)>;
+type Verdict = Result<(), (RefusalReason, Duration)>;
 
 /// Runs the admission machine for the requests of this node.
 #[derive(Debug, Default)]
@@ -52,7 +52,10 @@
 
 impl WriteGate for Turns {
     fn pass(&self) -> Option<Duration> {
-        self.admission.borrow_mut().cold().write(clock::now())
+        self.admission
+            .borrow_mut()
+            .cold_limiter()
+            .try_send(clock::now())
     }
 }
 
@@ -81,12 +84,12 @@
 
     /// Returns how long requests take at the server.
     pub(super) fn pace(&self) -> Duration {
-        self.admission.borrow().pace()
+        self.admission.borrow().weighted_time()
     }
 
     /// Returns how long a request of a route keeps a slot.
     pub(super) fn work(&self, route: &RouteName) -> Duration {
-        self.admission.borrow().work(route)
+        self.admission.borrow().service_time(route)
     }
 
     /// Returns how long the link is busy with large answers.
@@ -98,7 +101,7 @@
     pub(super) async fn take(
         self: &Rc<Self>,
         job: &super::super::job::Job,
-    ) -> Result<Slot, (NotRun, Duration)> {
+    ) -> Result<Slot, (RefusalReason, Duration)> {
         let ticket = self.next_ticket();
         let (sender, verdict) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, sender);
@@ -107,7 +110,7 @@
             ticket,
             armed: true,
         };
-        let waiting = Waiting {
+        let waiting = AdmissionRequest {
             ticket,
             route: job.route.clone(),
             rank: job.rank,
@@ -120,7 +123,7 @@
         let verdict = verdict.await;
         withdrawal.armed = false;
         // The sender is kept until it has spoken.
-        verdict.unwrap_or(Err((NotRun::NodeAway, Duration::ZERO)))?;
+        verdict.unwrap_or(Err((RefusalReason::NodeAway, Duration::ZERO)))?;
         Ok(Slot {
             turns: Rc::clone(self),
             ticket,
@@ -142,14 +145,14 @@
 
     /// Starts and refuses what is due.
     pub(super) fn pump(&self) {
-        let actions = self.admission.borrow_mut().pump(clock::now());
+        let actions = self.admission.borrow_mut().dispatch(clock::now());
         self.act(actions);
     }
 
     fn act(&self, actions: Vec<AdmissionAction>) {
         for action in actions {
             let (ticket, verdict) = match action {
-                AdmissionAction::Start(ticket) => (ticket, Ok(())),
+                AdmissionAction::Admit(ticket) => (ticket, Ok(())),
                 AdmissionAction::Refuse(ticket, reason, back) => (ticket, Err((reason, back))),
             };
             let sender = self.waiting.borrow_mut().remove(&ticket);
@@ -160,7 +163,7 @@
         }
     }
 
-    fn end(&self, ticket: Ticket, answered: Option<Answered<'_>>) {
+    fn end(&self, ticket: Ticket, answered: Option<ResponseSample<'_>>) {
         let actions = self
             .admission
             .borrow_mut()
@@ -184,9 +187,9 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        let answered = self.answered.map(|(time, bytes)| Answered {
+        let answered = self.answered.map(|(time, bytes)| ResponseSample {
             route: &self.route,
-            time,
+            service_time: time,
             bytes,
         });
         self.turns.end(self.ticket, answered);
@@ -198,7 +201,7 @@
         if self.armed {
             let known = self.turns.waiting.borrow_mut().remove(&self.ticket);
             match known {
-                Some(_) => self.turns.admission.borrow_mut().withdraw(self.ticket),
+                Some(_) => self.turns.admission.borrow_mut().cancel(self.ticket),
                 // Its turn came just as it left, so its slot is free again.
                 None => self.turns.end(self.ticket, None),
             }
--- a/crates/rack/src/traffic/hop/hop_client.rs
+++ b/crates/rack/src/traffic/hop/hop_client.rs
@@ -9,7 +9,7 @@
 use http::Response;
 use http::Uri;
 use http_body_util::Full;
-use quetzalrack_mesh::traffic::NotRun;
+use quetzalrack_mesh::traffic::RefusalReason;
 
 use super::INTENT_PATH;
 use super::hop_answer;
@@ -81,7 +81,7 @@
     pub(in crate::traffic) async fn send(&self, address: SocketAddr, job: &Job) -> Report {
         let now = clock::now();
         let Some(request) = hop_request::write(now, job) else {
-            return Report::bare(Outcome::NotRun(NotRun::NodeAway, Duration::ZERO));
+            return Report::bare(Outcome::NotRun(RefusalReason::NodeAway, Duration::ZERO));
         };
         let patience = job.deadline.since(now) + WAY_BACK;
         let exchange = self.pool.exchange(
@@ -95,7 +95,7 @@
             Ok(Ok(answer)) => hop_answer::read(answer)
                 .unwrap_or_else(|| Report::bare(Outcome::Lost(Lost::Foreign))),
             Ok(Err(ExchangeError::Dial(_))) => {
-                Report::bare(Outcome::NotRun(NotRun::NodeAway, Duration::ZERO))
+                Report::bare(Outcome::NotRun(RefusalReason::NodeAway, Duration::ZERO))
             }
             Ok(Err(ExchangeError::Broken(_))) => {
                 self.pool.forget(address);
--- a/crates/rack/src/traffic/hop/hop_server.rs
+++ b/crates/rack/src/traffic/hop/hop_server.rs
@@ -16,7 +16,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
-use quetzalrack_mesh::traffic::NotRun;
+use quetzalrack_mesh::traffic::RefusalReason;
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
@@ -89,7 +89,7 @@
             return Ok(malformed());
         };
         let report = match self.board.is_leaving() && self.egress.is_closed() {
-            true => Report::bare(Outcome::NotRun(NotRun::NodeAway, AFTER_SHUTDOWN)),
+            true => Report::bare(Outcome::NotRun(RefusalReason::NodeAway, AFTER_SHUTDOWN)),
             false => self.egress.serve(&job).await,
         };
         Ok(hop_answer::write(report))
--- a/crates/rack/src/traffic/ingress/attempts.rs
+++ b/crates/rack/src/traffic/ingress/attempts.rs
@@ -6,7 +6,7 @@
 use http::Response;
 use quetzalrack_core::ids::NodeName;
 use quetzalrack_core::time::Moment;
-use quetzalrack_mesh::traffic::NotRun;
+use quetzalrack_mesh::traffic::RefusalReason;
 
 use crate::traffic::outcome::Lost;
 
@@ -22,7 +22,7 @@
     /// A failure that a server answered.
     pub(super) failure: Option<Response<Bytes>>,
     /// The last refusal.
-    pub(super) refusal: (NotRun, Duration),
+    pub(super) refusal: (RefusalReason, Duration),
     /// The owner of the key by the word of a node that refused, until it is tried.
     pub(super) named: Option<NodeName>,
     /// How many such words were followed without a wait.
@@ -38,7 +38,7 @@
             sent: 0,
             lost: None,
             failure: None,
-            refusal: (NotRun::NoServer, NOWHERE),
+            refusal: (RefusalReason::NoServer, NOWHERE),
             named: None,
             words: 0,
             owner_wait: None,
--- a/crates/rack/src/traffic/ingress/ingress_node.rs
+++ b/crates/rack/src/traffic/ingress/ingress_node.rs
@@ -18,8 +18,8 @@
 use quetzalrack_mesh::model::HostSettings;
 use quetzalrack_mesh::model::Route;
 use quetzalrack_mesh::routing::WeightWheel;
-use quetzalrack_mesh::traffic::NotRun;
-use quetzalrack_mesh::traffic::choice::Chooser;
+use quetzalrack_mesh::traffic::RefusalReason;
+use quetzalrack_mesh::traffic::balancing::LoadBalancer;
 use quetzalrack_mesh::traffic::owner_wait::OwnerWait;
 use quetzalrack_mesh::traffic::retry::RetryBudget;
 
@@ -57,7 +57,7 @@
     pub(super) metrics: Arc<Metrics>,
     egress: Rc<Egress>,
     hops: Rc<HopClient>,
-    chooser: RefCell<Chooser>,
+    chooser: RefCell<LoadBalancer>,
     wheels: RefCell<HashMap<RouteName, WeightWheel>>,
     budgets: RefCell<HashMap<ServiceName, RetryBudget>>,
     owner_waits: RefCell<OwnerWait>,
@@ -75,7 +75,7 @@
     ) -> Rc<Self> {
         Rc::new(Self {
             me: settings.node.clone(),
-            chooser: RefCell::new(Chooser::new(settings.zone.clone(), seed)),
+            chooser: RefCell::new(LoadBalancer::new(settings.zone.clone(), seed)),
             settings,
             board,
             metrics,
@@ -191,7 +191,7 @@
             let node = match next {
                 Place::Node(node) => node,
                 Place::NoOwner => {
-                    attempts.refusal = (NotRun::NotOwner, NOWHERE);
+                    attempts.refusal = (RefusalReason::NotOwner, NOWHERE);
                     if self.wait_for_owner(job, &mut attempts).await {
                         continue;
                     }
@@ -218,12 +218,12 @@
         let span = || {
             let waits = self.owner_waits.borrow();
             let left = job.deadline.since(now);
-            (now, waits.span(now, directory, &job.service, key, left))
+            (now, waits.max_wait(now, directory, &job.service, key, left))
         };
         let (since, span) = *attempts.owner_wait.get_or_insert_with(span);
         if now >= since + span {
             let mut waits = self.owner_waits.borrow_mut();
-            waits.in_vain(now, directory, &job.service, key, span);
+            waits.record_timeout(now, directory, &job.service, key, span);
             return false;
         }
         attempts.words = 0;
@@ -240,9 +240,9 @@
         }
         let view = self.board.view();
         let Some(entry) = view.directory.members.get(node) else {
-            return Report::bare(Outcome::NotRun(NotRun::NodeAway, NOWHERE));
+            return Report::bare(Outcome::NotRun(RefusalReason::NodeAway, NOWHERE));
         };
-        self.chooser.borrow_mut().sent(node);
+        self.chooser.borrow_mut().record_sent(node);
         let sending = self.hops.send(entry.member.traffic, job);
         let report = tokio::select! {
             report = sending => report,
@@ -250,7 +250,7 @@
                 Report::bare(Outcome::Lost(Lost::Broken))
             }
         };
-        if let Outcome::NotRun(NotRun::NoDocument, _) = report.outcome
+        if let Outcome::NotRun(RefusalReason::NoDocument, _) = report.outcome
             && let Some(own) = view.directory.members.get(&self.me)
         {
             let (to, own) = (entry.member.traffic, own.member.traffic);
@@ -261,15 +261,15 @@
         let mut chooser = self.chooser.borrow_mut();
         let failed = match &report.outcome {
             Outcome::Answered(answer) => answer.status().is_server_error(),
-            Outcome::NotRun(reason, _) => *reason == NotRun::ServerRefused,
+            Outcome::NotRun(reason, _) => *reason == RefusalReason::ServerRefused,
             Outcome::Lost(lost) => !lost.is_timeout(),
         };
-        chooser.ended(now, node, report.load, failed);
+        chooser.record_ended(now, node, report.load, failed);
         if let Outcome::Answered(answer) = &report.outcome {
-            chooser.answered(&job.route, answer.body().len());
+            chooser.record_response_size(&job.route, answer.body().len());
         }
         if report.load.is_none() {
-            chooser.unreachable(now, node);
+            chooser.record_unreachable(now, node);
         }
         report
     }
--- a/crates/rack/src/traffic/ingress/judging.rs
+++ b/crates/rack/src/traffic/ingress/judging.rs
@@ -4,8 +4,8 @@
 use http::Response;
 use http::StatusCode;
 use quetzalrack_core::ids::NodeName;
-use quetzalrack_mesh::traffic::NotRun;
-use quetzalrack_mesh::traffic::OwnerWord;
+use quetzalrack_mesh::traffic::OwnerHint;
+use quetzalrack_mesh::traffic::RefusalReason;
 use quetzalrack_mesh::traffic::retry::RetryBudget;
 
 use super::Ingress;
@@ -50,14 +50,17 @@
                 attempts.lost = Some(lost);
                 repeatable && !lost.is_timeout() && self.try_again(intake, attempts, node, "lost")
             }
-            Outcome::NotRun(reason @ NotRun::ServerRefused, back) => {
+            Outcome::NotRun(reason @ RefusalReason::ServerRefused, back) => {
                 self.count(job, attempts);
                 attempts.refusal = (reason, back);
                 self.try_again(intake, attempts, node, "server_refused")
             }
             Outcome::NotRun(reason, back) => {
                 attempts.refusal = (reason, back);
-                if job.key.is_some() && reason != NotRun::Full && reason != NotRun::Expired {
+                if job.key.is_some()
+                    && reason != RefusalReason::Full
+                    && reason != RefusalReason::Expired
+                {
                     if self.follow_word(attempts, &node, report.owner) {
                         return true;
                     }
@@ -65,7 +68,7 @@
                     return self.wait_for_owner(job, attempts).await;
                 }
                 attempts.tried.push(node);
-                reason != NotRun::Expired && attempts.tried.len() < MOST_NODES
+                reason != RefusalReason::Expired && attempts.tried.len() < MOST_NODES
             }
         }
     }
@@ -75,10 +78,10 @@
         &self,
         attempts: &mut Attempts,
         refused: &NodeName,
-        word: Option<OwnerWord>,
+        word: Option<OwnerHint>,
     ) -> bool {
         let view = self.board.view();
-        let newer = |word: &OwnerWord| word.node != *refused && word.is_newer(&view.directory);
+        let newer = |word: &OwnerHint| word.node != *refused && word.is_newer(&view.directory);
         let Some(word) = word.filter(newer) else {
             return false;
         };
@@ -91,7 +94,7 @@
     fn count(&self, job: &Job, attempts: &mut Attempts) {
         attempts.sent += 1;
         if attempts.sent == 1 {
-            self.budget(&job.service, RetryBudget::count);
+            self.budget(&job.service, RetryBudget::deposit);
         }
     }
 
@@ -106,7 +109,11 @@
         let in_time = intake.due.since(clock::now()) >= WORTHWHILE;
         let allowed = attempts.sent < intake.route.attempts && in_time;
         let nodes = self.board.view().directory.members.len();
-        if !allowed || !self.budget(&intake.job.service, |budget, now| budget.take(now, nodes)) {
+        if !allowed
+            || !self.budget(&intake.job.service, |budget, now| {
+                budget.withdraw(now, nodes)
+            })
+        {
             return false;
         }
         self.metrics.retried(why);
--- a/crates/rack/src/traffic/ingress/placing.rs
+++ b/crates/rack/src/traffic/ingress/placing.rs
@@ -7,7 +7,7 @@
 use quetzalrack_core::ids::NodeName;
 use quetzalrack_core::time::Moment;
 use quetzalrack_mesh::ownership::DirectoryEntry;
-use quetzalrack_mesh::traffic::choice::Chooser;
+use quetzalrack_mesh::traffic::balancing::LoadBalancer;
 
 use crate::shared::Board;
 use crate::shared::NodeView;
@@ -35,7 +35,7 @@
 pub(super) fn next(
     now: Moment,
     view: &NodeView,
-    chooser: &RefCell<Chooser>,
+    chooser: &RefCell<LoadBalancer>,
     job: &Job,
     tried: &[NodeName],
 ) -> Place {
--- a/crates/rack/src/traffic/outcome.rs
+++ b/crates/rack/src/traffic/outcome.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use http::Response;
 use quetzalrack_mesh::ownership::NodeLoad;
-use quetzalrack_mesh::traffic::NotRun;
-use quetzalrack_mesh::traffic::OwnerWord;
+use quetzalrack_mesh::traffic::OwnerHint;
+use quetzalrack_mesh::traffic::RefusalReason;
 
 /// Says why a request that was sent to a backend server has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
     /// The backend server answered, whatever it said.
     Answered(Response<Bytes>),
     /// It surely did not run; there may be room after the time.
-    NotRun(NotRun, Duration),
+    NotRun(RefusalReason, Duration),
     /// It may have run.
     Lost(Lost),
 }
@@ -37,7 +37,7 @@
     pub(super) outcome: Outcome,
     pub(super) load: Option<NodeLoad>,
     /// Who owns the key by the table of the node that refused.
-    pub(super) owner: Option<OwnerWord>,
+    pub(super) owner: Option<OwnerHint>,
 }
 
 impl Report {
--- a/crates/rack/src/traffic/wire/link_pacer.rs
+++ b/crates/rack/src/traffic/wire/link_pacer.rs
@@ -8,7 +8,7 @@
 
 use quetzalrack_mesh::model::LinkRate;
 use quetzalrack_mesh::traffic::link::LinkQueue;
-use quetzalrack_mesh::traffic::link::MessageTurn;
+use quetzalrack_mesh::traffic::link::MessageId;
 use tokio::sync::Notify;
 
 use crate::clock;
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(crate) struct LinkPacer {
     queue: RefCell<LinkQueue>,
-    wakers: RefCell<HashMap<MessageTurn, Waker>>,
+    wakers: RefCell<HashMap<MessageId, Waker>>,
     changed: Notify,
 }
 
@@ -38,13 +38,13 @@
     }
 
     /// Gives a long message its place.
-    pub(super) fn begin(&self) -> MessageTurn {
-        self.queue.borrow_mut().begin()
+    pub(super) fn begin(&self) -> MessageId {
+        self.queue.borrow_mut().add()
     }
 
     /// Returns how many bytes of a message may be written now; else `waker` is woken at its turn.
-    pub(super) fn ask(&self, turn: MessageTurn, waker: &Waker) -> Option<usize> {
-        let allowed = self.queue.borrow_mut().ask(clock::now(), turn);
+    pub(super) fn ask(&self, turn: MessageId, waker: &Waker) -> Option<usize> {
+        let allowed = self.queue.borrow_mut().request_write(clock::now(), turn);
         if allowed.is_none() {
             self.wakers.borrow_mut().insert(turn, waker.clone());
             self.changed.notify_one();
@@ -54,12 +54,12 @@
 
     /// Counts bytes that were written.
     pub(super) fn spend(&self, bytes: usize) {
-        self.queue.borrow_mut().spend(clock::now(), bytes);
+        self.queue.borrow_mut().record_written(clock::now(), bytes);
     }
 
     /// Takes a message out of the queue.
-    pub(super) fn leave(&self, turn: MessageTurn) {
-        self.queue.borrow_mut().leave(turn);
+    pub(super) fn leave(&self, turn: MessageId) {
+        self.queue.borrow_mut().remove(turn);
         self.wakers.borrow_mut().remove(&turn);
         self.changed.notify_one();
     }
--- a/crates/rack/src/traffic/wire/paced_stream.rs
+++ b/crates/rack/src/traffic/wire/paced_stream.rs
@@ -6,7 +6,7 @@
 use std::task::Context;
 use std::task::Poll;
 
-use quetzalrack_mesh::traffic::link::MessageTurn;
+use quetzalrack_mesh::traffic::link::MessageId;
 use tokio::io::AsyncRead;
 use tokio::io::AsyncWrite;
 use tokio::io::ReadBuf;
@@ -28,7 +28,7 @@
     /// How many bytes have been written since the far side last spoke: on a connection that carries
     /// one exchange at a time, that is one message.
     written: usize,
-    turn: Option<MessageTurn>,
+    turn: Option<MessageId>,
 }
 
 impl<S> PacedStream<S> {
