--- a/crates/mesh/src/ownership/directory.rs
+++ b/crates/mesh/src/ownership/directory.rs
@@ -20,7 +20,7 @@
     /// The node's own description.
     pub member: Member,
     /// Whether the leader hears it.
-    pub heard: bool,
+    pub responsive: bool,
     /// Its load.
     pub load: LoadSketch,
 }
@@ -32,9 +32,9 @@
     /// The epoch of the versions.
     pub epoch: Epoch,
     /// The version of the members.
-    pub table: u64,
+    pub members_version: u64,
     /// The version of the owners.
-    pub version: u64,
+    pub owners_version: u64,
     /// All nodes.
     pub members: BTreeMap<NodeName, DirectoryEntry>,
     /// Who owns which keys, by service.
@@ -43,15 +43,15 @@
 
 impl Directory {
     /// Starts counting versions anew under another leader; the tables stay until it replaces them.
-    pub fn follow(&mut self, epoch: Epoch) {
+    pub fn start_epoch(&mut self, epoch: Epoch) {
         self.epoch = epoch;
-        self.table = 0;
-        self.version = 0;
+        self.members_version = 0;
+        self.owners_version = 0;
     }
 
     /// Returns what is known of the members, for a leader none of whose versions is known yet.
-    pub fn digests(&self) -> Vec<MemberDigest> {
-        match self.table {
+    pub fn member_digests(&self) -> Vec<MemberDigest> {
+        match self.members_version {
             0 => self.members.values().map(DirectoryEntry::digest).collect(),
             _ => Vec::new(),
         }
@@ -59,13 +59,13 @@
 
     /// Takes over changes.
     pub fn apply(&mut self, update: &TableUpdate) {
-        self.table = update.table;
-        for (member, heard) in &update.members {
+        self.members_version = update.table;
+        for (member, responsive) in &update.members {
             let name = member.life.node.clone();
             let known = self.members.get(&name);
             let entry = DirectoryEntry {
                 member: member.clone(),
-                heard: *heard,
+                responsive: *responsive,
                 load: known.map(|known| known.load).unwrap_or_default(),
             };
             self.members.insert(name, entry);
@@ -77,7 +77,7 @@
             // An order that came in between may have replaced what this one left out as known; then
             // the leader must be told again what is known here.
             if self.members.len() < all.len() {
-                self.table = 0;
+                self.members_version = 0;
             }
         }
         for node in &update.gone {
@@ -102,7 +102,7 @@
     }
 
     fn apply_owners(&mut self, update: &OwnersUpdate) {
-        self.version = update.version;
+        self.owners_version = update.version;
         if update.whole {
             self.owners.clear();
         }
@@ -122,6 +122,6 @@
 
 impl DirectoryEntry {
     fn digest(&self) -> MemberDigest {
-        MemberDigest::of(&self.member, self.heard)
+        MemberDigest::of(&self.member, self.responsive)
     }
 }
--- a/crates/mesh/src/ownership/election/search.rs
+++ b/crates/mesh/src/ownership/election/leader_search.rs
@@ -28,7 +28,7 @@
 
 /// Says what a search wants next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(in crate::ownership) enum Verdict {
+pub(in crate::ownership) enum SearchAction {
     /// Nothing for now.
     Wait,
     /// Read the newest record.
@@ -36,9 +36,9 @@
     /// Claim the next epoch, if the topic still ends there.
     Claim {
         /// Where the topic ends.
-        end: u64,
+        topic_end: u64,
         /// The record to succeed.
-        last: Option<LeaderRecord>,
+        previous: Option<LeaderRecord>,
     },
 }
 
@@ -49,7 +49,7 @@
 /// majority of the voters say that they don't hear the leader either; or when the leader has not
 /// refreshed its record for long, since that majority may be gone for good.
 #[derive(Clone, Debug, Default)]
-pub(in crate::ownership) struct Search {
+pub(in crate::ownership) struct LeaderSearch {
     known: Option<Known>,
     read_at: Option<Moment>,
     reading: bool,
@@ -68,14 +68,14 @@
     seen: Moment,
 }
 
-impl Search {
+impl LeaderSearch {
     /// Ends the search.
-    pub(in crate::ownership) fn stop(&mut self) {
+    pub(in crate::ownership) fn reset(&mut self) {
         *self = Self::default();
     }
 
     /// Learns the newest record.
-    pub(in crate::ownership) fn learn(
+    pub(in crate::ownership) fn handle_record(
         &mut self,
         now: Moment,
         record: Option<LeaderRecord>,
@@ -95,12 +95,12 @@
     }
 
     /// Learns that the store did not answer.
-    pub(in crate::ownership) fn failed(&mut self) {
+    pub(in crate::ownership) fn handle_read_failure(&mut self) {
         self.reading = false;
     }
 
     /// Learns whether another node hears the leader of an epoch.
-    pub(in crate::ownership) fn hear(
+    pub(in crate::ownership) fn record_reply(
         &mut self,
         now: Moment,
         node: NodeName,
@@ -121,7 +121,7 @@
         me: &NodeProfile,
         times: &LeaseTimes,
         roll: f64,
-    ) -> Verdict {
+    ) -> SearchAction {
         let fresh = self
             .known
             .as_ref()
@@ -129,18 +129,18 @@
         if !fresh {
             let due = self.read_at.is_none_or(|at| now.since(at) >= READ_PAUSE);
             if self.reading || !due {
-                return Verdict::Wait;
+                return SearchAction::Wait;
             }
             self.read_at = Some(now);
             self.reading = true;
-            return Verdict::Read;
+            return SearchAction::Read;
         }
         let Some(known) = &self.known else {
-            return Verdict::Wait;
+            return SearchAction::Wait;
         };
         if !self.is_lost(now, known, &me.life.node, times) {
             self.claim_after = None;
-            return Verdict::Wait;
+            return SearchAction::Wait;
         }
         let wait = match me.narrow {
             true => NARROW_LATER + (SPREAD * NARROW_SPREAD).mul_f64(roll),
@@ -148,11 +148,11 @@
         };
         let after = *self.claim_after.get_or_insert(now + wait);
         if now < after {
-            return Verdict::Wait;
+            return SearchAction::Wait;
         }
-        Verdict::Claim {
-            end: known.end,
-            last: known.record.clone(),
+        SearchAction::Claim {
+            topic_end: known.end,
+            previous: known.record.clone(),
         }
     }
 
@@ -163,7 +163,7 @@
         if record.leader.node == *me || record.voters.is_empty() {
             return true;
         }
-        if now.since(known.since) >= times.refresh * MISSED_REFRESHES {
+        if now.since(known.since) >= times.refresh_interval * MISSED_REFRESHES {
             return true;
         }
         let unheard = record.voters.iter().filter(|voter| {
--- a/crates/mesh/src/ownership/election/mod.rs
+++ b/crates/mesh/src/ownership/election/mod.rs
@@ -1,6 +1,6 @@
 //! Finding a leader, and asking to become one.
 
-mod search;
+mod leader_search;
 
-pub(super) use search::Search;
-pub(super) use search::Verdict;
+pub(super) use leader_search::LeaderSearch;
+pub(super) use leader_search::SearchAction;
--- a/crates/mesh/src/ownership/holder/called_grants/mod.rs
+++ b/crates/mesh/src/ownership/holder/called_grants/mod.rs
@@ -201,7 +201,7 @@
         if self.outbid.contains(&held) || self.is_pending(&held.keys) {
             return None;
         }
-        let time = times.held_by_call(now, end)?;
+        let time = times.call_hold(now, end)?;
         let known = self.find(&held, life);
         if let Some(grant) = known {
             let longer = (now + time).since(grant.serves) >= WORTHWHILE;
--- a/crates/mesh/src/ownership/holder/called_grants/outcomes.rs
+++ b/crates/mesh/src/ownership/holder/called_grants/outcomes.rs
@@ -63,11 +63,15 @@
             } => {
                 grant.serves = grant.serves.max(*sent + *time);
                 grant.released = false;
-                grant.due = *sent + times.hold.min(*time) / 2;
-                before.until.max(*answered + LeaseTimes::waited(*time))
+                grant.due = *sent + times.max_hold.min(*time) / 2;
+                before
+                    .until
+                    .max(*answered + LeaseTimes::plus_clock_drift(*time))
             }
             KeyCallOutcome::Unanswered { closed, time } => {
-                grant.doubt = grant.doubt.max(*closed + LeaseTimes::waited(*time));
+                grant.doubt = grant
+                    .doubt
+                    .max(*closed + LeaseTimes::plus_clock_drift(*time));
                 before.until.max(grant.doubt)
             }
             KeyCallOutcome::Outbid => {
--- a/crates/mesh/src/ownership/holder/server_watch.rs
+++ b/crates/mesh/src/ownership/holder/server_watch.rs
@@ -222,7 +222,7 @@
                 at: now,
                 cold_until: now,
                 offers: Vec::new(),
-                inherited_until: now + LeaseTimes::waited(times.lease),
+                inherited_until: now + LeaseTimes::plus_clock_drift(times.lease),
                 freed: Vec::new(),
             }),
         };
@@ -255,7 +255,7 @@
         let Some(lease) = valid.filter(|lease| lease.until.since(now) >= SHORTEST) else {
             return HeartbeatAnswer::Heard;
         };
-        let time = LeaseTimes::given(lease.until.since(now));
+        let time = LeaseTimes::minus_clock_drift(lease.until.since(now));
         let sequence = current.newest.sequence;
         for offer in &mut current.offers {
             offer.wanted = false;
--- a/crates/mesh/src/ownership/leader/assigning.rs
+++ b/crates/mesh/src/ownership/leader/assigning.rs
@@ -57,7 +57,7 @@
 
     pub(super) fn extend(&mut self, now: Moment, node: &NodeName) {
         let lease = self.authority.left(now, &self.times);
-        let end = now + LeaseTimes::waited(lease);
+        let end = now + LeaseTimes::plus_clock_drift(lease);
         for ledger in self.ledgers.values_mut() {
             for row in ledger.rows_mut() {
                 match &mut row.state {
--- a/crates/mesh/src/ownership/leader/authority.rs
+++ b/crates/mesh/src/ownership/leader/authority.rs
@@ -41,7 +41,7 @@
         storeless: Duration,
         times: &LeaseTimes,
     ) -> Self {
-        let used = times.storeless.saturating_sub(storeless);
+        let used = times.store_grace.saturating_sub(storeless);
         Self {
             store: written.before(used.max(times.lease)),
             majority: None,
@@ -68,7 +68,7 @@
     /// Tells whether a majority has confirmed the leadership lately.
     pub(super) fn has_majority(&self, now: Moment, times: &LeaseTimes) -> bool {
         self.majority
-            .is_some_and(|stamp| now.since(stamp) < times.suspect)
+            .is_some_and(|stamp| now.since(stamp) < times.leader_timeout)
     }
 
     /// Tells whether a leader that acts alone may say that it needs a majority from now on: whoever
@@ -111,6 +111,6 @@
     }
 
     fn storeless_end(&self, times: &LeaseTimes) -> Moment {
-        self.store + times.storeless
+        self.store + times.store_grace
     }
 }
--- a/crates/mesh/src/ownership/leader/calling.rs
+++ b/crates/mesh/src/ownership/leader/calling.rs
@@ -24,7 +24,7 @@
 
     /// Speaks to nodes that are silent: one that has started while the store is away knows nobody.
     pub(super) fn call_silent(&mut self, now: Moment, actions: &mut Vec<Action>) {
-        if !self.keeper.is_call_due(now, self.times.suspect) {
+        if !self.keeper.is_call_due(now, self.times.leader_timeout) {
             return;
         }
         let silent = self.peers.values().filter(|peer| !peer.is_heard(now));
--- a/crates/mesh/src/ownership/leader/candidates.rs
+++ b/crates/mesh/src/ownership/leader/candidates.rs
@@ -31,7 +31,11 @@
 
     /// Returns when a server's heartbeats come, as a part of the time between two.
     fn phase(&self, peer: &Peer) -> f64 {
-        let between = self.times.heartbeat.as_secs_f64().max(f64::MIN_POSITIVE);
+        let between = self
+            .times
+            .server_heartbeat
+            .as_secs_f64()
+            .max(f64::MIN_POSITIVE);
         let at = peer.heartbeat_at.since(Moment::default()).as_secs_f64();
         (at / between).fract()
     }
--- a/crates/mesh/src/ownership/leader/handing.rs
+++ b/crates/mesh/src/ownership/leader/handing.rs
@@ -24,14 +24,14 @@
 impl Leader {
     /// Writes down what a successor must know, and chooses one; none if this leader does not know
     /// everything itself, or nobody fits.
-    pub(in crate::ownership) fn hand_on(&self, now: Moment) -> Option<(Member, Handoff)> {
+    pub(in crate::ownership) fn prepare_handoff(&self, now: Moment) -> Option<(Member, Handoff)> {
         if self.takeover.is_some() || !self.record.complete || self.keeper.is_writing() {
             return None;
         }
         let fits = |member: &&Member| {
             member.life != self.me && !member.leaving && self.record.has(&member.life.node)
         };
-        let successors = self.heard(now).filter(fits);
+        let successors = self.responsive_members(now).filter(fits);
         let successor = successors.min_by_key(|member| member.narrow)?.clone();
         let record = LeaderRecord {
             epoch: self.record.epoch.handed_on()?,
--- a/crates/mesh/src/ownership/leader/leader_machine.rs
+++ b/crates/mesh/src/ownership/leader/leader_machine.rs
@@ -63,29 +63,29 @@
 
 /// Is what a node knows when its claim has succeeded.
 #[derive(Clone, Debug)]
-pub(in crate::ownership) struct LeaderStart {
+pub(in crate::ownership) struct LeaderClaim {
     /// The record that now stands in the store.
     pub(in crate::ownership) record: LeaderRecord,
     /// The one before it.
-    pub(in crate::ownership) last: Option<LeaderRecord>,
+    pub(in crate::ownership) previous: Option<LeaderRecord>,
     /// Where the topic ends with it.
-    pub(in crate::ownership) end: u64,
+    pub(in crate::ownership) topic_end: u64,
     /// When the claim was sent.
-    pub(in crate::ownership) sent: Moment,
+    pub(in crate::ownership) sent_at: Moment,
 }
 
 impl Leader {
     pub(in crate::ownership) fn new(
         now: Moment,
-        start: LeaderStart,
+        claim: LeaderClaim,
         directory: &Directory,
         intent: OperatorsIntent,
         times: LeaseTimes,
     ) -> Self {
-        let mut leader = Self::bare(now, start.record, directory, intent, times);
-        leader.authority = Authority::new(start.sent);
-        leader.takeover = Some(Takeover::new(now, start.last));
-        leader.keeper = RecordKeeper::new(now, start.end);
+        let mut leader = Self::bare(now, claim.record, directory, intent, times);
+        leader.authority = Authority::new(claim.sent_at);
+        leader.takeover = Some(Takeover::new(now, claim.previous));
+        leader.keeper = RecordKeeper::new(now, claim.topic_end);
         leader
     }
 
@@ -146,12 +146,12 @@
     }
 
     /// Learns up to when the intent holds all that was acknowledged.
-    pub(in crate::ownership) fn confirm_intent(&mut self, at: Moment) {
+    pub(in crate::ownership) fn set_intent_confirmed(&mut self, at: Moment) {
         self.confirmed = at;
     }
 
     /// Takes one beat and answers it.
-    pub(in crate::ownership) fn hear(
+    pub(in crate::ownership) fn handle_heartbeat(
         &mut self,
         now: Moment,
         from: SocketAddr,
@@ -258,7 +258,10 @@
     }
 
     /// Returns the members that this leader hears, for the directory of its own node.
-    pub(in crate::ownership) fn heard(&self, now: Moment) -> impl Iterator<Item = &Member> {
+    pub(in crate::ownership) fn responsive_members(
+        &self,
+        now: Moment,
+    ) -> impl Iterator<Item = &Member> {
         self.peers
             .values()
             .filter(move |peer| peer.is_heard(now))
--- a/crates/mesh/src/ownership/leader/mod.rs
+++ b/crates/mesh/src/ownership/leader/mod.rs
@@ -18,4 +18,4 @@
 mod takeover;
 
 pub(super) use leader_machine::Leader;
-pub(super) use leader_machine::LeaderStart;
+pub(super) use leader_machine::LeaderClaim;
--- a/crates/mesh/src/ownership/leader/moves.rs
+++ b/crates/mesh/src/ownership/leader/moves.rs
@@ -184,7 +184,7 @@
             server: Some(server),
             fence: self.fence,
             handover,
-            until: now + LeaseTimes::waited(self.authority.left(now, &self.times)),
+            until: now + LeaseTimes::plus_clock_drift(self.authority.left(now, &self.times)),
         };
         if let Some(ledger) = self.ledgers.get_mut(service) {
             ledger.set(keys, RowState::Held(tenure));
--- a/crates/mesh/src/ownership/leader/record_keeping.rs
+++ b/crates/mesh/src/ownership/leader/record_keeping.rs
@@ -110,7 +110,7 @@
 
 impl Leader {
     /// Tells whether a later claim stands in the store.
-    pub(in crate::ownership) fn is_overtaken(&self) -> bool {
+    pub(in crate::ownership) fn is_superseded(&self) -> bool {
         self.keeper.overtaken
     }
 
@@ -137,8 +137,9 @@
             || alone != self.record.alone;
         let calm = now.since(keeper.wanted_since) >= CALM;
         let left_alone = alone && !self.record.alone;
-        let due =
-            (changed && calm) || left_alone || now.since(keeper.written) >= self.times.refresh;
+        let due = (changed && calm)
+            || left_alone
+            || now.since(keeper.written) >= self.times.refresh_interval;
         if let Some(record) = keeper.pending.clone().filter(|_| keeper.missing) {
             // Both copies want the same place, so one of them lands at most.
             keeper.missing = false;
@@ -160,7 +161,7 @@
             keeper.written = now;
             keeper.pending = Some(record.clone());
             actions.push(Action::WriteLeader { end, record });
-        } else if now.since(keeper.asked) >= self.times.verify {
+        } else if now.since(keeper.asked) >= self.times.verify_interval {
             keeper.reading = Some(now);
             keeper.asked = now;
             actions.push(Action::ReadLeader);
@@ -195,7 +196,7 @@
     }
 
     /// Learns what became of a write.
-    pub(in crate::ownership) fn wrote(&mut self, outcome: AppendOutcome) {
+    pub(in crate::ownership) fn handle_write(&mut self, outcome: AppendOutcome) {
         let writing = self.keeper.writing.take();
         match outcome {
             AppendOutcome::Appended => {
@@ -221,7 +222,7 @@
     }
 
     /// Learns what the store holds, as asked for at `asked`.
-    pub(in crate::ownership) fn read(&mut self, asked: Moment, read: LeaderRead) {
+    pub(in crate::ownership) fn handle_read(&mut self, asked: Moment, read: LeaderRead) {
         self.keeper.reading = None;
         let LeaderRead::Newest(record, end) = read else {
             return;
--- a/crates/mesh/src/ownership/leader/settling.rs
+++ b/crates/mesh/src/ownership/leader/settling.rs
@@ -92,7 +92,7 @@
             ledger.merge();
         }
         self.takeover = None;
-        let detail = format!("{} nodes heard", self.heard(now).count());
+        let detail = format!("{} nodes heard", self.responsive_members(now).count());
         self.notes.push(("takeover_complete", detail));
     }
 
--- a/crates/mesh/src/ownership/leader/takeover.rs
+++ b/crates/mesh/src/ownership/leader/takeover.rs
@@ -98,7 +98,7 @@
                 server: server.map(|server| server.life.clone()),
                 fence: held.fence,
                 handover: None,
-                until: now + LeaseTimes::waited(times.lease),
+                until: now + LeaseTimes::plus_clock_drift(times.lease),
             };
             // A server that does not speak can't be renewed, and another life's grant must not be; its keys are free once it lost them.
             let state = match own && server.is_some_and(ServerCard::is_grantable) {
@@ -124,12 +124,12 @@
         if last.voters.iter().all(|voter| known(&voter.node)) {
             return true;
         }
-        let lease = LeaseTimes::waited(times.lease);
+        let lease = LeaseTimes::plus_clock_drift(times.lease);
         let ended = |since: Moment| now.since(since) >= lease;
         // Until the claim the store may have confirmed a leader that acts on its word alone.
         let by_store = !last.alone || ended(self.claimed);
         let by_majority = deserted(last, peers).is_some_and(ended);
-        let storeless = LeaseTimes::waited(times.storeless + times.lease);
+        let storeless = LeaseTimes::plus_clock_drift(times.store_grace + times.lease);
         (by_majority && by_store) || now.since(self.claimed) >= storeless
     }
 }
--- a/crates/mesh/src/ownership/lease_times.rs
+++ b/crates/mesh/src/ownership/lease_times.rs
@@ -14,53 +14,53 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTimes {
     /// How often a backend server sends its heartbeat; it gets and releases keys with the answers.
-    pub heartbeat: Duration,
+    pub server_heartbeat: Duration,
     /// How long a leader may act after its leadership was last confirmed, and so the longest lease.
     /// Keys of a lost host are served again after this; a backend server whose heartbeat comes that
     /// late loses its keys for a moment.
     pub lease: Duration,
     /// How long a leader may act on the acknowledgements of a majority alone, while the store is away. It
     /// bounds how long keys stay without an owner when that majority is gone for good.
-    pub storeless: Duration,
+    pub store_grace: Duration,
     /// The longest hold that a call asks for. A process that starts waits as long until it knows what its
     /// server holds, since calls of the process before it may still be obeyed.
-    pub hold: Duration,
+    pub max_hold: Duration,
     /// How long a call that grants keys may take: the hold counts from its arrival, so this much of each
     /// lease can't be given away.
-    pub call: Duration,
+    pub call_timeout: Duration,
     /// How often a node speaks to its leader.
-    pub beat: Duration,
+    pub node_heartbeat: Duration,
     /// How long a leader may be silent before its nodes look for another.
-    pub suspect: Duration,
+    pub leader_timeout: Duration,
     /// How often a leader confirms its leadership at the store.
-    pub verify: Duration,
+    pub verify_interval: Duration,
     /// How often a leader writes its record again, so that a node that no peer answers can tell a
     /// living leader from a lost one.
-    pub refresh: Duration,
+    pub refresh_interval: Duration,
 }
 
 impl Default for LeaseTimes {
     fn default() -> Self {
         Self {
             // The platform's settings say how often it is; this is what they say today.
-            heartbeat: Duration::from_millis(870),
+            server_heartbeat: Duration::from_millis(870),
             // Four heartbeats of a backend server, which come about every 0.9 s.
             lease: Duration::from_millis(3_500),
             // The store's outages last 4 to 16 s. Longer would only make keys wait longer whose
             // leader is gone for good together with most of the nodes.
-            storeless: Duration::from_secs(16),
-            hold: Duration::from_millis(1_000),
+            store_grace: Duration::from_secs(16),
+            max_hold: Duration::from_millis(1_000),
             // The server is on the same host and answers at once; a full queue of connections or a
             // starved process takes tenths of a second.
-            call: Duration::from_millis(300),
-            // Three tries within `suspect`.
-            beat: Duration::from_millis(400),
+            call_timeout: Duration::from_millis(300),
+            // Three tries within `leader_timeout`.
+            node_heartbeat: Duration::from_millis(400),
             // Leaves two thirds of a lease to find the next leader in.
-            suspect: Duration::from_millis(1_200),
+            leader_timeout: Duration::from_millis(1_200),
             // Several tries within a lease.
-            verify: Duration::from_millis(800),
+            verify_interval: Duration::from_millis(800),
             // Two missed ones make eight seconds; each is one call of a few dozen bytes.
-            refresh: Duration::from_secs(4),
+            refresh_interval: Duration::from_secs(4),
         }
     }
 }
@@ -68,15 +68,15 @@
 impl LeaseTimes {
     /// Returns the times of a deployment whose servers are granted keys in this way. All of its nodes
     /// must have the same, since a new leader waits for the leases that others gave.
-    pub fn of(granting: Granting, heartbeat: Duration) -> Self {
+    pub fn for_granting(granting: Granting, heartbeat: Duration) -> Self {
         let usual = Self {
-            heartbeat,
+            server_heartbeat: heartbeat,
             ..Self::default()
         };
         match granting {
             Granting::ByHeartbeat => usual,
             // Nothing waits for a server's heartbeat, so a lease need only outlast the change of a
-            // leader that is lost: `suspect`, a claim, and two beats. Keys of a lost host are without
+            // leader that is lost: `leader_timeout`, a claim, and two beats. Keys of a lost host are without
             // an owner for less.
             Granting::ByCall => Self {
                 lease: Duration::from_millis(2_400),
@@ -87,19 +87,19 @@
 
     /// Returns how long the other side of a lease of `span` must be waited for: its clock may run
     /// three hundredths slower than ours.
-    pub fn waited(span: Duration) -> Duration {
+    pub fn plus_clock_drift(span: Duration) -> Duration {
         span + span * 3 / 100
     }
 
     /// Returns for how long a call that is sent now may ask, if the hold must have ended by `end`; none
     /// if that is too short to be worth a call.
-    pub fn held_by_call(&self, now: Moment, end: Moment) -> Option<Duration> {
-        let time = Self::given(end.since(now + self.call)).min(self.hold);
+    pub fn call_hold(&self, now: Moment, end: Moment) -> Option<Duration> {
+        let time = Self::minus_clock_drift(end.since(now + self.call_timeout)).min(self.max_hold);
         (time >= SHORTEST_HOLD).then_some(time)
     }
 
     /// Returns what may be given away of `span`, for a clock that runs three hundredths slower.
-    pub fn given(span: Duration) -> Duration {
+    pub fn minus_clock_drift(span: Duration) -> Duration {
         span * 97 / 100
     }
 }
--- a/crates/mesh/src/ownership/node_machine/ending.rs
+++ b/crates/mesh/src/ownership/node_machine/ending.rs
@@ -19,7 +19,7 @@
         let followed = self.epoch().is_some_and(|followed| followed > epoch);
         let why = match () {
             () if followed => "a later leader is followed",
-            () if leader.is_overtaken() => "a later claim stands in the store",
+            () if leader.is_superseded() => "a later claim stands in the store",
             () if leader.has_lapsed(now) => "neither store nor majority confirmed it in time",
             () => return,
         };
@@ -35,7 +35,7 @@
         {
             following.resigned = true;
         }
-        self.search.stop();
+        self.search.reset();
     }
 
     pub(super) fn shut_down(&mut self, now: Moment, actions: &mut Vec<Action>) {
@@ -46,11 +46,11 @@
         };
         let epoch = leader.record().epoch;
         self.handing = leader
-            .hand_on(now)
+            .prepare_handoff(now)
             .map(|(successor, handoff)| (successor.control, handoff));
         if self.handing.is_none() {
             let others = leader
-                .heard(now)
+                .responsive_members(now)
                 .filter(|member| member.life != self.profile.life);
             let resign = PeerMessage::Resign { epoch };
             actions.extend(others.map(|member| Action::Send(member.control, resign.clone())));
--- a/crates/mesh/src/ownership/node_machine/finding.rs
+++ b/crates/mesh/src/ownership/node_machine/finding.rs
@@ -14,9 +14,9 @@
 use crate::ownership::LeaderRead;
 use crate::ownership::LeaderRecord;
 use crate::ownership::PeerMessage;
-use crate::ownership::election::Verdict;
+use crate::ownership::election::SearchAction;
 use crate::ownership::leader::Leader;
-use crate::ownership::leader::LeaderStart;
+use crate::ownership::leader::LeaderClaim;
 
 /// How often other nodes are asked whether they hear the leader.
 const ASK_PAUSE: Duration = Duration::from_millis(400);
@@ -29,22 +29,25 @@
         }
         self.send_handoff(actions);
         if self.hears_leader(now) {
-            self.search.stop();
+            self.search.reset();
             return;
         }
         self.ask_others(now, actions);
         let roll = self.random.random();
         match self.search.step(now, &self.profile, &self.times, roll) {
-            Verdict::Wait => {}
-            Verdict::Read => actions.push(Action::ReadLeader),
-            Verdict::Claim { end, last } => self.claim(now, end, last, actions),
+            SearchAction::Wait => {}
+            SearchAction::Read => actions.push(Action::ReadLeader),
+            SearchAction::Claim {
+                topic_end,
+                previous,
+            } => self.claim(now, topic_end, previous, actions),
         }
     }
 
     pub(super) fn hears_leader(&self, now: Moment) -> bool {
         self.following.as_ref().is_some_and(|following| {
             let last = following.heard.unwrap_or(following.since);
-            !following.resigned && now.since(last) < self.times.suspect
+            !following.resigned && now.since(last) < self.times.leader_timeout
         })
     }
 
@@ -75,20 +78,20 @@
     pub(super) fn claim(
         &mut self,
         now: Moment,
-        end: u64,
-        last: Option<LeaderRecord>,
+        topic_end: u64,
+        previous: Option<LeaderRecord>,
         actions: &mut Vec<Action>,
     ) {
         if self.claim.is_some() || self.leaving {
             return;
         }
-        let epoch = last
+        let epoch = previous
             .as_ref()
-            .map_or(Epoch::default(), |last| last.epoch)
+            .map_or(Epoch::default(), |previous| previous.epoch)
             .next_claim();
-        let voters = last
+        let voters = previous
             .as_ref()
-            .map(|last| last.voters.clone())
+            .map(|previous| previous.voters.clone())
             .unwrap_or_default();
         let record = LeaderRecord {
             epoch,
@@ -98,16 +101,21 @@
             complete: false,
             alone: true,
         };
-        note(actions, "claim", epoch, format!("topic ends at {end}"));
+        note(
+            actions,
+            "claim",
+            epoch,
+            format!("topic ends at {topic_end}"),
+        );
         actions.push(Action::WriteLeader {
-            end,
+            end: topic_end,
             record: record.clone(),
         });
-        self.claim = Some(LeaderStart {
+        self.claim = Some(LeaderClaim {
             record,
-            last,
-            end: end + 1,
-            sent: now,
+            previous,
+            topic_end: topic_end + 1,
+            sent_at: now,
         });
     }
 
@@ -118,7 +126,7 @@
         actions: &mut Vec<Action>,
     ) {
         if let Some(leader) = &mut self.leader {
-            leader.wrote(outcome);
+            leader.handle_write(outcome);
             return;
         }
         match outcome {
@@ -129,14 +137,14 @@
             }
             AppendOutcome::Overtaken | AppendOutcome::Refused => {
                 self.claim = None;
-                self.search.stop();
+                self.search.reset();
             }
             // It may stand or land later; the next reads tell.
-            AppendOutcome::Unknown => self.search.stop(),
+            AppendOutcome::Unknown => self.search.reset(),
         }
     }
 
-    pub(super) fn lead(&mut self, now: Moment, start: LeaderStart, actions: &mut Vec<Action>) {
+    pub(super) fn lead(&mut self, now: Moment, start: LeaderClaim, actions: &mut Vec<Action>) {
         let epoch = start.record.epoch;
         note(
             actions,
@@ -177,14 +185,14 @@
             self.read_epoch = self.read_epoch.max(Some(record.epoch));
         }
         if let Some(leader) = &mut self.leader {
-            leader.read(asked, read);
+            leader.handle_read(asked, read);
             return;
         }
         let LeaderRead::Newest(record, end) = read else {
-            self.search.failed();
+            self.search.handle_read_failure();
             return;
         };
-        self.search.learn(now, record.clone(), end);
+        self.search.handle_record(now, record.clone(), end);
         let Some(record) = record else {
             return;
         };
@@ -194,9 +202,9 @@
             && start.record == record
         {
             // Our claim's answer was lost; it stood when this was asked.
-            let start = LeaderStart {
-                sent: asked,
-                end,
+            let start = LeaderClaim {
+                sent_at: asked,
+                topic_end: end,
                 ..start
             };
             self.lead(now, start, actions);
@@ -237,7 +245,7 @@
         self.obeyed = heard.map_or(self.obeyed, |heard| heard.max(self.obeyed));
         // What the earlier leader answers from now on is void, or this node could count for both.
         self.outstanding.clear();
-        self.directory.follow(epoch);
+        self.directory.start_epoch(epoch);
         self.keep_offered(now);
         // A record that names an earlier process of this very node names nobody who lives.
         let leader = &record.leader;
@@ -249,7 +257,7 @@
             stamp: None,
             resigned: dead,
         });
-        self.search.stop();
+        self.search.reset();
         self.beat_due = now;
     }
 }
--- a/crates/mesh/src/ownership/node_machine/following.rs
+++ b/crates/mesh/src/ownership/node_machine/following.rs
@@ -46,8 +46,8 @@
         match message {
             PeerMessage::Beat(beat) => {
                 if let Some(leader) = &mut self.leader {
-                    leader.confirm_intent(self.intent_watch.confirmed());
-                    leader.hear(now, from, &beat, actions);
+                    leader.set_intent_confirmed(self.intent_watch.confirmed());
+                    leader.handle_heartbeat(now, from, &beat, actions);
                 }
             }
             PeerMessage::Order(order) => self.obey(now, &order, actions),
@@ -68,7 +68,7 @@
                 traffic,
             } => {
                 self.fetch_newer(now, intent, traffic, actions);
-                self.search.hear(now, from.node, epoch, hears);
+                self.search.record_reply(now, from.node, epoch, hears);
             }
             PeerMessage::Lead(record) => {
                 if record.epoch > self.stood_down {
@@ -185,7 +185,7 @@
     }
 
     pub(super) fn beat(&mut self, now: Moment, actions: &mut Vec<Action>) {
-        self.beat_due = now + self.times.beat;
+        self.beat_due = now + self.times.node_heartbeat;
         let Some(following) = &self.following else {
             return;
         };
@@ -221,9 +221,9 @@
             freed: self.server.freed(now),
             load: self.load,
             key_loads: self.due_key_loads(now),
-            members: self.directory.digests(),
-            table: self.directory.table,
-            owners: self.directory.version,
+            members: self.directory.member_digests(),
+            table: self.directory.members_version,
+            owners: self.directory.owners_version,
             intent: self.intent.offset,
         };
         self.told = Some((card, holding));
@@ -241,10 +241,13 @@
         let age = now.since(self.started);
         let knows = |granting| match granting {
             Granting::ByHeartbeat => {
-                self.server.is_settled(granting) || age >= LeaseTimes::waited(self.times.lease)
+                self.server.is_settled(granting)
+                    || age >= LeaseTimes::plus_clock_drift(self.times.lease)
             }
             // Calls of an earlier process have ended by then, obeyed or not.
-            Granting::ByCall => age >= LeaseTimes::waited(self.times.hold + self.times.call),
+            Granting::ByCall => {
+                age >= LeaseTimes::plus_clock_drift(self.times.max_hold + self.times.call_timeout)
+            }
         };
         match self.intent.config {
             Some(_) => knows(self.granting()),
--- a/crates/mesh/src/ownership/node_machine/mod.rs
+++ b/crates/mesh/src/ownership/node_machine/mod.rs
@@ -33,11 +33,11 @@
 use crate::ownership::LeaseTimes;
 use crate::ownership::NodeLoad;
 use crate::ownership::ServerCard;
-use crate::ownership::election::Search;
+use crate::ownership::election::LeaderSearch;
 use crate::ownership::holder::Lease;
 use crate::ownership::holder::ServerWatch;
 use crate::ownership::leader::Leader;
-use crate::ownership::leader::LeaderStart;
+use crate::ownership::leader::LeaderClaim;
 use follower::Following;
 use intent_watch::IntentWatch;
 use intent_watch::Reliance;
@@ -62,10 +62,10 @@
     /// Epochs up to this one are over for this process.
     stood_down: Epoch,
     directory: Directory,
-    search: Search,
+    search: LeaderSearch,
     asked: Moment,
     leader: Option<Leader>,
-    claim: Option<LeaderStart>,
+    claim: Option<LeaderClaim>,
     intent: OperatorsIntent,
     intent_watch: IntentWatch,
     fetched: Moment,
@@ -99,7 +99,7 @@
             obeyed: now,
             stood_down: Epoch::default(),
             directory: Directory::default(),
-            search: Search::default(),
+            search: LeaderSearch::default(),
             asked: Moment::default(),
             leader: None,
             claim: None,
--- a/crates/mesh/src/traffic/balancing/load_balancer.rs
+++ b/crates/mesh/src/traffic/balancing/load_balancer.rs
@@ -130,7 +130,7 @@
 
 fn is_open(entry: &DirectoryEntry) -> bool {
     let server = entry.member.server.as_ref();
-    entry.heard && !entry.member.leaving && server.is_some_and(|server| !server.draining)
+    entry.responsive && !entry.member.leaving && server.is_some_and(|server| !server.draining)
 }
 
 fn link_cost(
--- a/crates/mesh/src/traffic/owner_hint.rs
+++ b/crates/mesh/src/traffic/owner_hint.rs
@@ -35,14 +35,14 @@
         let node = directory.owner(service, key)?.clone();
         Some(Self {
             epoch: directory.epoch,
-            version: directory.version,
+            version: directory.owners_version,
             node,
         })
     }
 
     /// Tells whether the word is newer than a table.
     pub fn is_newer(&self, than: &Directory) -> bool {
-        (self.epoch, self.version) > (than.epoch, than.version)
+        (self.epoch, self.version) > (than.epoch, than.owners_version)
     }
 }
 
--- a/crates/mesh/src/traffic/owner_wait.rs
+++ b/crates/mesh/src/traffic/owner_wait.rs
@@ -49,8 +49,9 @@
         left: Duration,
     ) -> Duration {
         let vain = self.vain.get(&block(directory, service, key));
-        let hopeless = vain
-            .is_some_and(|vain| vain.owners == directory.version && now.since(vain.at) < MEMORY);
+        let hopeless = vain.is_some_and(|vain| {
+            vain.owners == directory.owners_version && now.since(vain.at) < MEMORY
+        });
         match hopeless {
             true => Duration::ZERO,
             false => LONGEST.min(left / PART),
@@ -72,7 +73,7 @@
         }
         self.vain.retain(|_, vain| now.since(vain.at) < MEMORY);
         let vain = Vain {
-            owners: directory.version,
+            owners: directory.owners_version,
             at: now,
         };
         self.vain.insert(block(directory, service, key), vain);
--- a/crates/mesh/tests/choice.rs
+++ b/crates/mesh/tests/choice.rs
@@ -55,7 +55,7 @@
         };
         let entry = DirectoryEntry {
             member,
-            heard: true,
+            responsive: true,
             load: load(*busy, 0).into(),
         };
         directory.members.insert(name.parse().unwrap(), entry);
@@ -125,7 +125,7 @@
     let mut directory = directory(&[0, 0, 5]);
     for (name, entry) in &mut directory.members {
         match name.as_str() {
-            "node-0" => entry.heard = false,
+            "node-0" => entry.responsive = false,
             "node-1" => entry.member.server.as_mut().unwrap().draining = true,
             _ => {}
         }
--- a/crates/mesh/tests/owner_wait.rs
+++ b/crates/mesh/tests/owner_wait.rs
@@ -59,7 +59,7 @@
     let moving = waits.max_wait(at(360), &directory, &service(), 40_000, LEFT);
     assert_eq!((lost, moving), (Duration::ZERO, Duration::from_millis(350)));
     // The owners change: the lost keys may be among what was given away.
-    directory.version += 1;
+    directory.owners_version += 1;
     let again = waits.max_wait(at(400), &directory, &service(), 20_010, LEFT);
     assert_eq!(again, Duration::from_millis(350));
 }
--- a/crates/mesh/tests/owner_word.rs
+++ b/crates/mesh/tests/owner_word.rs
@@ -10,7 +10,7 @@
     let keys = KeyRange::new(0, 9_999).unwrap();
     let mut directory = Directory {
         epoch: Epoch(epoch),
-        version,
+        owners_version: version,
         ..Directory::default()
     };
     let rows = vec![(keys, owner.parse().unwrap())];
--- a/crates/mesh/tests/ownership_support/fleet/calls.rs
+++ b/crates/mesh/tests/ownership_support/fleet/calls.rs
@@ -64,13 +64,13 @@
             host.held_up.push(again);
             return;
         }
-        let times = LeaseTimes::of(self.plan.granting, HEARTBEAT);
+        let times = LeaseTimes::for_granting(self.plan.granting, HEARTBEAT);
         let now = self.now;
         let listens = host.server.is_some();
         let (held, grant, limit) = match call.request {
             KeyRequest::Grant { range, end } => {
-                let time = times.held_by_call(now, end);
-                (range.held, time.map(|time| (now, time)), times.call)
+                let time = times.call_hold(now, end);
+                (range.held, time.map(|time| (now, time)), times.call_timeout)
             }
             KeyRequest::Release(held) => (held, None, RELEASE_LIMIT),
         };
--- a/crates/mesh/tests/ownership_support/fleet/mod.rs
+++ b/crates/mesh/tests/ownership_support/fleet/mod.rs
@@ -228,22 +228,28 @@
                 if one.epoch != other.epoch {
                     continue;
                 }
-                if one.version == other.version && one.version > 0 {
+                if one.owners_version == other.owners_version && one.owners_version > 0 {
                     compared += 1;
                     if one.owners != other.owners {
-                        return (compared, Some(format!("owners of version {}", one.version)));
+                        return (
+                            compared,
+                            Some(format!("owners of version {}", one.owners_version)),
+                        );
                     }
                 }
                 let members = |table: &Directory| -> Vec<_> {
                     let entries = table.members.values();
                     entries
-                        .map(|entry| (entry.member.clone(), entry.heard))
+                        .map(|entry| (entry.member.clone(), entry.responsive))
                         .collect()
                 };
-                if one.table == other.table && one.table > 0 {
+                if one.members_version == other.members_version && one.members_version > 0 {
                     compared += 1;
                     if members(one) != members(other) {
-                        return (compared, Some(format!("members of version {}", one.table)));
+                        return (
+                            compared,
+                            Some(format!("members of version {}", one.members_version)),
+                        );
                     }
                 }
             }
@@ -417,7 +423,7 @@
         let mut machine = NodeMachine::new(
             self.now,
             profile,
-            LeaseTimes::of(self.plan.granting, HEARTBEAT),
+            LeaseTimes::for_granting(self.plan.granting, HEARTBEAT),
         );
         machine.step(self.now, Event::Intent(intent()));
         self.nodes[place].machine = Some(machine);
--- a/crates/rack/src/control/control_loop.rs
+++ b/crates/rack/src/control/control_loop.rs
@@ -105,9 +105,9 @@
             events: events.clone(),
             intent,
         };
-        let usual = LeaseTimes::of(host.granting, host.heartbeat);
+        let usual = LeaseTimes::for_granting(host.granting, host.heartbeat);
         let times = LeaseTimes {
-            hold: usual.hold.min(host.bounds.hold),
+            max_hold: usual.max_hold.min(host.bounds.hold),
             ..usual
         };
         let running = Running {
--- a/crates/rack/src/control/key_calls.rs
+++ b/crates/rack/src/control/key_calls.rs
@@ -120,13 +120,13 @@
         // was decided before a wait must not make it longer.
         let make = || {
             let now = clock::now();
-            let time = self.times.held_by_call(now, end)?;
+            let time = self.times.call_hold(now, end)?;
             sent.set(Some((now, time)));
             Some(addressed(grant_request(&range, time), address))
         };
         let exchange = self.pool.exchange_late(address, Some(heard), make);
         // Dropped at its limit, the call's connection is closed.
-        let ended = tokio::time::timeout(self.times.call, exchange).await;
+        let ended = tokio::time::timeout(self.times.call_timeout, exchange).await;
         let Some((sent, time)) = sent.get() else {
             return KeyCallOutcome::NotSent;
         };
--- a/crates/rack/src/traffic/ingress/judging.rs
+++ b/crates/rack/src/traffic/ingress/judging.rs
@@ -153,7 +153,7 @@
             key = job.key.map_or(-1, i64::from), left_ms = intake.due.since(clock::now()).as_millis() as u64,
             config = view.intent.config.as_ref().map_or(0, |config| config.version),
             confirmed_ms = clock::now().since(view.confirmed).as_millis() as u64,
-            epoch = view.directory.epoch.0, owners = view.directory.version; ""
+            epoch = view.directory.epoch.0, owners = view.directory.owners_version; ""
         );
     }
 }
--- a/crates/rack/src/traffic/ingress/placing.rs
+++ b/crates/rack/src/traffic/ingress/placing.rs
@@ -65,7 +65,7 @@
     loop {
         let view = board.view();
         let entry: Option<&DirectoryEntry> = view.directory.members.get(node);
-        let Some(entry) = entry.filter(|entry| !entry.heard) else {
+        let Some(entry) = entry.filter(|entry| !entry.responsive) else {
             failed = 0;
             board.changed().await;
             continue;
