--- a/crates/mesh/src/model/server_heartbeat.rs
+++ b/crates/mesh/src/model/server_heartbeat.rs
@@ -10,12 +10,12 @@
 use super::Handover;
 use super::HeldRange;
 use super::KeyRange;
-use super::ServerLife;
+use super::ServerIncarnation;
 
 /// Is a range that a backend server has released.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct FreedRange {
+pub struct ReleasedRange {
     /// The keys.
     pub keys: KeyRange,
     /// What the next holder needs to serve them at full speed.
@@ -25,8 +25,8 @@
 /// Is one heartbeat of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerHeartbeat {
-    /// Which life of which server sent it.
-    pub life: ServerLife,
+    /// The server's incarnation that sent it.
+    pub incarnation: ServerIncarnation,
     /// Its service.
     pub service: ServiceName,
     /// Where it listens.
@@ -37,10 +37,10 @@
     pub draining: bool,
     /// How long it stays cold.
     pub cold: Duration,
-    /// Rises with every heartbeat of a life; a late one is known by it.
+    /// Rises with every heartbeat of an incarnation, so that late ones are recognised.
     pub sequence: u64,
     /// What it holds or is still working on.
     pub holds: Vec<HeldRange>,
     /// What it has released since its last acknowledged heartbeat.
-    pub freed: Vec<FreedRange>,
+    pub released: Vec<ReleasedRange>,
 }
--- a/crates/mesh/src/model/server_id.rs
+++ b/crates/mesh/src/model/server_id.rs
@@ -12,14 +12,15 @@
 #[derive(Serialize, Deserialize)]
 pub struct ServerId(pub Arc<str>);
 
-/// Names one life of a backend server: a later life holds and knows nothing of an earlier one.
+/// Identifies one run of a backend server. A later incarnation neither holds nor knows anything of an
+/// earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
-pub struct ServerLife {
+pub struct ServerIncarnation {
     /// The server.
     pub id: ServerId,
     /// When it started, in Unix milliseconds on its own clock.
-    pub born: u64,
+    pub started_ms: u64,
 }
 
 impl fmt::Display for ServerId {
@@ -36,8 +37,8 @@
     }
 }
 
-impl fmt::Display for ServerLife {
+impl fmt::Display for ServerIncarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}@{}", self.id, self.born)
+        write!(f, "{}@{}", self.id, self.started_ms)
     }
 }
--- a/crates/mesh/src/ownership/action.rs
+++ b/crates/mesh/src/ownership/action.rs
@@ -1,4 +1,4 @@
-//! What a node's control asks for.
+//! The outputs of a node's state machine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,36 +6,36 @@
 use super::HeartbeatAnswer;
 use super::KeyCall;
 use super::LeaderRecord;
-use super::Note;
+use super::LogEntry;
 use super::PeerMessage;
 
-/// Is one output of [`super::NodeMachine`].
+/// One output of [`super::NodeMachine`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a datagram.
     Send(SocketAddr, PeerMessage),
     /// Read the newest record of the leader's topic.
     ReadLeader,
-    /// Append to the leader's topic, if it still ends there.
+    /// Append to the leader's topic, if it still ends at this offset.
     WriteLeader {
-        /// Where the topic must end.
-        end: u64,
+        /// The end offset that the topic must have.
+        topic_end: u64,
         /// The record.
         record: LeaderRecord,
     },
     /// Answer the backend server's heartbeat.
-    Answer(HeartbeatAnswer),
-    /// Call the backend server; the outcome comes back as an event.
+    AnswerHeartbeat(HeartbeatAnswer),
+    /// Call the backend server; the outcome is reported as an event.
     CallServer(KeyCall),
-    /// The directory or the lease has changed.
+    /// Publish the directory and the lease, since one of them may have changed.
     Publish,
-    /// Read the operators' topic, in place of any read that is on its way.
+    /// Read the operators' topic; a read in progress is aborted.
     ReadIntent {
-        /// How long the store may wait for news.
+        /// How long the store may wait for new records.
         wait: Duration,
     },
-    /// Ask a node for the operators' intent, since it has read further.
+    /// Fetch the operators' intent from a peer that has read further.
     FetchIntent(SocketAddr),
-    /// Write a line into the log: what is believed from now on, and the inputs.
-    Note(Note),
+    /// Write a line to the log.
+    Log(LogEntry),
 }
--- a/crates/mesh/src/ownership/directory.rs
+++ b/crates/mesh/src/ownership/directory.rs
@@ -7,7 +7,7 @@
 use quetzalrack_core::ids::ServiceName;
 
 use super::Epoch;
-use super::LoadSketch;
+use super::LoadSummary;
 use super::Member;
 use super::MemberDigest;
 use super::OwnersUpdate;
@@ -22,7 +22,7 @@
     /// Whether the leader hears it.
     pub responsive: bool,
     /// Its load.
-    pub load: LoadSketch,
+    pub load: LoadSummary,
 }
 
 /// Holds the tables that the leader spreads. They can be old: a node that is asked for what it can't
@@ -59,9 +59,9 @@
 
     /// Takes over changes.
     pub fn apply(&mut self, update: &TableUpdate) {
-        self.members_version = update.table;
+        self.members_version = update.members_version;
         for (member, responsive) in &update.members {
-            let name = member.life.node.clone();
+            let name = member.incarnation.node.clone();
             let known = self.members.get(&name);
             let entry = DirectoryEntry {
                 member: member.clone(),
@@ -70,8 +70,8 @@
             };
             self.members.insert(name, entry);
         }
-        if !update.all.is_empty() {
-            let all: BTreeSet<MemberDigest> = update.all.iter().copied().collect();
+        if !update.all_members.is_empty() {
+            let all: BTreeSet<MemberDigest> = update.all_members.iter().copied().collect();
             self.members
                 .retain(|_, entry| all.contains(&entry.digest()));
             // An order that came in between may have replaced what this one left out as known; then
@@ -80,7 +80,7 @@
                 self.members_version = 0;
             }
         }
-        for node in &update.gone {
+        for node in &update.removed {
             self.members.remove(node);
         }
         if update.loads.len() == self.members.len() {
@@ -103,7 +103,7 @@
 
     fn apply_owners(&mut self, update: &OwnersUpdate) {
         self.owners_version = update.version;
-        if update.whole {
+        if update.full {
             self.owners.clear();
         }
         for owned in &update.ranges {
--- a/crates/mesh/src/ownership/election/leader_search.rs
+++ b/crates/mesh/src/ownership/election/leader_search.rs
@@ -138,11 +138,11 @@
         let Some(known) = &self.known else {
             return SearchAction::Wait;
         };
-        if !self.is_lost(now, known, &me.life.node, times) {
+        if !self.is_lost(now, known, &me.incarnation.node, times) {
             self.claim_after = None;
             return SearchAction::Wait;
         }
-        let wait = match me.narrow {
+        let wait = match me.narrow_link {
             true => NARROW_LATER + (SPREAD * NARROW_SPREAD).mul_f64(roll),
             false => SPREAD.mul_f64(roll),
         };
--- a/crates/mesh/src/ownership/event.rs
+++ b/crates/mesh/src/ownership/event.rs
@@ -1,4 +1,4 @@
-//! What can happen to a node's control.
+//! The inputs of a node's state machine.
 
 use std::net::SocketAddr;
 
@@ -14,49 +14,49 @@
 use crate::model::ServerHeartbeat;
 use crate::model::ServerId;
 
-/// Is what a read of the leader's topic returned.
+/// The result of a read of the leader's topic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaderRead {
-    /// The newest record, if there is one, and where the topic ends.
+    /// The newest record, if any, and the end offset of the topic.
     Newest(Option<LeaderRecord>, u64),
-    /// The store did not answer.
+    /// The store did not respond.
     Unavailable,
 }
 
-/// Is what a backend server called for.
+/// An event at the node's backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServerEvent {
-    /// Its heartbeat.
+    /// It sent a heartbeat.
     Heartbeat(ServerHeartbeat),
-    /// It leaves.
-    Leaves(ServerId),
-    /// A call to it has ended.
+    /// It announced that it leaves.
+    Leaving(ServerId),
+    /// A call to it ended.
     CallEnded(KeyCallId, KeyCallOutcome),
-    /// It is gone: its port takes no connections, or its heartbeats have stopped for long.
-    Gone,
+    /// It is lost: its port refuses connections, and its heartbeats have stopped.
+    Unreachable,
 }
 
-/// Is one input of [`super::NodeMachine`].
+/// One input of [`super::NodeMachine`].
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// A datagram came.
+    /// A datagram arrived from this address.
     Message(SocketAddr, PeerMessage),
-    /// The backend server beside the node spoke, or fell silent.
+    /// Something happened at the node's backend server.
     Server(ServerEvent),
-    /// A read of the leader's topic, begun at this stamp, has ended.
-    Read(quetzalrack_core::time::Moment, LeaderRead),
-    /// An append to the leader's topic has ended.
-    Wrote(AppendOutcome),
-    /// The operators' intent changed, or was learned.
+    /// A read of the leader's topic, begun at this time, ended.
+    LeaderRead(quetzalrack_core::time::Moment, LeaderRead),
+    /// An append to the leader's topic ended.
+    LeaderWritten(AppendOutcome),
+    /// The operators' intent became known or changed.
     Intent(OperatorsIntent),
-    /// A read of the operators' topic has ended.
+    /// A read of the operators' topic ended.
     IntentRead(IntentRead),
-    /// A node at this address knows the operators' document and has met one that does not: this one.
-    Neighbour(SocketAddr),
-    /// The load, counted anew.
+    /// The peer at this address knows the operators' document, while this node does not.
+    IntentSource(SocketAddr),
+    /// The load was measured again.
     Load(NodeLoad, Vec<KeyLoad>),
-    /// The process was told to leave.
+    /// The process was told to shut down.
     Shutdown,
 }
--- a/crates/mesh/src/ownership/intent_read.rs
+++ b/crates/mesh/src/ownership/intent_read.rs
@@ -1,20 +1,20 @@
-//! How a read of the operators' topic ended.
+//! The result of a read of the operators' topic.
 
 use quetzalrack_core::time::Moment;
 
-/// Says how a read of the operators' topic ended.
+/// The result of a read of the operators' topic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IntentRead {
-    /// The store has nothing that was not known.
-    NoNews {
-        /// When it was asked.
+    /// The store has no new records.
+    Unchanged {
+        /// When the read began.
         begun: Moment,
     },
-    /// It had news, which have come as an event of their own.
-    News {
-        /// When it was asked.
+    /// The store had new records; the changed intent is reported by an event of its own.
+    Changed {
+        /// When the read began.
         begun: Moment,
     },
-    /// It gave no answer that could be used.
+    /// The store gave no usable response.
     Failed,
 }
--- a/crates/mesh/src/ownership/leader/assigning.rs
+++ b/crates/mesh/src/ownership/leader/assigning.rs
@@ -21,7 +21,7 @@
             .member
             .server
             .as_ref()
-            .filter(|server| server.settled)?;
+            .filter(|server| server.holding_known)?;
         let mut ranges = Vec::new();
         if let Some(ledger) = self.ledgers.get(&peer.member.service) {
             for row in ledger.rows() {
@@ -39,7 +39,7 @@
             }
         }
         Some(Assignment {
-            server: server.life.clone(),
+            server: server.incarnation.clone(),
             ranges,
         })
     }
--- a/crates/mesh/src/ownership/leader/calling.rs
+++ b/crates/mesh/src/ownership/leader/calling.rs
@@ -16,7 +16,7 @@
             if let Some(peer) = self.peers.get(&node) {
                 actions.push(Action::Send(
                     peer.member.control,
-                    PeerMessage::Prompt { epoch },
+                    PeerMessage::HeartbeatRequest { epoch },
                 ));
             }
         }
@@ -37,7 +37,10 @@
         addresses.extend(unknown.map(|voter| voter.control));
         for address in addresses {
             let record = Box::new(self.record.clone());
-            actions.push(Action::Send(address, PeerMessage::Lead(record)));
+            actions.push(Action::Send(
+                address,
+                PeerMessage::LeaderAnnouncement(record),
+            ));
         }
     }
 }
--- a/crates/mesh/src/ownership/leader/handing.rs
+++ b/crates/mesh/src/ownership/leader/handing.rs
@@ -14,9 +14,9 @@
 use super::row::Tenure;
 use crate::model::OperatorsIntent;
 use crate::ownership::Directory;
-use crate::ownership::HandedHolder;
-use crate::ownership::HandedRange;
 use crate::ownership::Handoff;
+use crate::ownership::HandoffHolder;
+use crate::ownership::HandoffRange;
 use crate::ownership::LeaderRecord;
 use crate::ownership::LeaseTimes;
 use crate::ownership::Member;
@@ -25,17 +25,19 @@
     /// Writes down what a successor must know, and chooses one; none if this leader does not know
     /// everything itself, or nobody fits.
     pub(in crate::ownership) fn prepare_handoff(&self, now: Moment) -> Option<(Member, Handoff)> {
-        if self.takeover.is_some() || !self.record.complete || self.keeper.is_writing() {
+        if self.takeover.is_some() || !self.record.takeover_complete || self.keeper.is_writing() {
             return None;
         }
         let fits = |member: &&Member| {
-            member.life != self.me && !member.leaving && self.record.has(&member.life.node)
+            member.incarnation != self.me
+                && !member.leaving
+                && self.record.has_voter(&member.incarnation.node)
         };
         let successors = self.responsive_members(now).filter(fits);
-        let successor = successors.min_by_key(|member| member.narrow)?.clone();
+        let successor = successors.min_by_key(|member| member.narrow_link)?.clone();
         let record = LeaderRecord {
-            epoch: self.record.epoch.handed_on()?,
-            leader: successor.life.clone(),
+            epoch: self.record.epoch.after_handoff()?,
+            leader: successor.incarnation.clone(),
             control: successor.control,
             ..self.record.clone()
         };
@@ -43,7 +45,7 @@
         for (service, ledger) in &self.ledgers {
             ranges.extend(ledger.rows().iter().map(|row| {
                 let (holder, handover) = handed(now, row);
-                HandedRange {
+                HandoffRange {
                     service: service.clone(),
                     keys: row.keys,
                     holder,
@@ -52,14 +54,14 @@
             }));
         }
         let storeless = self.authority.storeless_left(now, &self.times);
-        let sequence = self.peers.get(&successor.life.node)?.sequence;
+        let sequence = self.peers.get(&successor.incarnation.node)?.sequence;
         let handoff = Handoff {
-            to: successor.life.clone(),
+            successor: successor.incarnation.clone(),
             sequence,
             record,
-            end: self.keeper.end(),
+            topic_end: self.keeper.end(),
             fence: self.fence,
-            storeless: milliseconds(storeless),
+            store_grace: milliseconds(storeless),
             ranges,
         };
         Some((successor, handoff))
@@ -75,9 +77,9 @@
         times: LeaseTimes,
     ) -> Self {
         let mut leader = Self::bare(now, handoff.record.clone(), directory, intent, times);
-        let storeless = Duration::from_millis(u64::from(handoff.storeless));
+        let storeless = Duration::from_millis(u64::from(handoff.store_grace));
         leader.authority = Authority::handed(now, written, storeless, &times);
-        leader.keeper = RecordKeeper::unwritten(now, handoff.end);
+        leader.keeper = RecordKeeper::unwritten(now, handoff.topic_end);
         leader.fence = leader.fence.max(handoff.fence);
         leader.starting = Some(now);
         for range in &handoff.ranges {
@@ -89,14 +91,14 @@
     }
 }
 
-fn handed(now: Moment, row: &Row) -> (Option<HandedHolder>, Option<crate::model::Handover>) {
+fn handed(now: Moment, row: &Row) -> (Option<HandoffHolder>, Option<crate::model::Handover>) {
     let leaving = matches!(row.state, RowState::Leaving { .. });
-    let holder = row.state.tenure().map(|tenure| HandedHolder {
+    let holder = row.state.tenure().map(|tenure| HandoffHolder {
         node: tenure.node.clone(),
         server: tenure.server.clone(),
         fence: tenure.fence,
-        left: milliseconds(tenure.until.since(now)),
-        leaving,
+        lease_left: milliseconds(tenure.until.since(now)),
+        releasing: leaving,
     });
     let handover = match &row.state {
         RowState::Free(freedom) => freedom.handover.clone(),
@@ -105,7 +107,7 @@
     (holder, handover)
 }
 
-fn taken(now: Moment, range: &HandedRange) -> RowState {
+fn taken(now: Moment, range: &HandoffRange) -> RowState {
     let Some(holder) = &range.holder else {
         return RowState::Free(Freedom {
             // It may have lapsed just before.
@@ -119,9 +121,9 @@
         server: holder.server.clone(),
         fence: holder.fence,
         handover: None,
-        until: now + Duration::from_millis(u64::from(holder.left)),
+        until: now + Duration::from_millis(u64::from(holder.lease_left)),
     };
-    match holder.leaving {
+    match holder.releasing {
         true => RowState::Leaving {
             tenure,
             since: now.0,
--- a/crates/mesh/src/ownership/leader/leader_machine.rs
+++ b/crates/mesh/src/ownership/leader/leader_machine.rs
@@ -19,13 +19,13 @@
 use crate::model::FencingToken;
 use crate::model::OperatorsIntent;
 use crate::ownership::Action;
-use crate::ownership::Beat;
 use crate::ownership::Directory;
 use crate::ownership::LeaderRecord;
+use crate::ownership::LeaderReply;
 use crate::ownership::LeaseTimes;
 use crate::ownership::Member;
-use crate::ownership::NodeLife;
-use crate::ownership::Order;
+use crate::ownership::NodeHeartbeat;
+use crate::ownership::NodeIncarnation;
 use crate::ownership::PeerMessage;
 
 /// How long a leader to whom the leadership was handed may take to be confirmed: three beats of its
@@ -38,7 +38,7 @@
 /// Is one term of leadership; a new one starts empty.
 #[derive(Clone, Debug)]
 pub(in crate::ownership) struct Leader {
-    pub(super) me: NodeLife,
+    pub(super) me: NodeIncarnation,
     pub(super) times: LeaseTimes,
     pub(super) record: LeaderRecord,
     pub(super) authority: Authority,
@@ -101,7 +101,7 @@
         let known = directory.members.values().map(|entry| {
             let changed = tables.next_version();
             let peer = Peer::from_table(now, entry.member.clone(), changed);
-            (entry.member.life.node.clone(), peer)
+            (entry.member.incarnation.node.clone(), peer)
         });
         let peers = known.collect();
         Self {
@@ -155,12 +155,12 @@
         &mut self,
         now: Moment,
         from: SocketAddr,
-        beat: &Beat,
+        beat: &NodeHeartbeat,
         actions: &mut Vec<Action>,
     ) {
-        let node = beat.member.life.node.clone();
+        let node = beat.member.incarnation.node.clone();
         let late = self.peers.get(&node).is_some_and(|peer| {
-            peer.member.life == beat.member.life && beat.sequence <= peer.sequence
+            peer.member.incarnation == beat.member.incarnation && beat.sequence <= peer.sequence
         });
         if beat.epoch != self.record.epoch || late {
             return;
@@ -182,29 +182,32 @@
         if assignment.is_some() {
             self.extend(now, &node);
         }
-        let order = Order {
+        let order = LeaderReply {
             epoch: self.record.epoch,
             leader: self.me.clone(),
-            life: beat.member.life.life,
+            incarnation: beat.member.incarnation.nonce,
             sequence: beat.sequence,
-            stamp: now.0,
+            sent_at: now.0,
             lease: milliseconds(lease),
-            expects: !current || self.expects(&node),
+            grants_pending: !current || self.expects(&node),
             assignment,
             update: self.update_for(beat),
-            intent: self.intent.offset,
+            intent_offset: self.intent.offset,
             // Rounded up, so that nobody takes the word for newer than it is.
             intent_age: milliseconds(now.since(self.confirmed)).saturating_add(1),
         };
-        if beat.intent > self.intent.offset {
+        if beat.intent_offset > self.intent.offset {
             actions.push(Action::FetchIntent(beat.member.traffic));
         }
-        actions.push(Action::Send(from, PeerMessage::Order(Box::new(order))));
+        actions.push(Action::Send(
+            from,
+            PeerMessage::LeaderReply(Box::new(order)),
+        ));
     }
 
     /// Takes over what a beat says, if it comes from the process that speaks for its node; tells whether
     /// it does.
-    fn learn(&mut self, now: Moment, node: &NodeName, beat: &Beat) -> bool {
+    fn learn(&mut self, now: Moment, node: &NodeName, beat: &NodeHeartbeat) -> bool {
         let peer = self.peers.get_mut(node);
         let current = peer.is_none_or(|peer| peer.is_current(now, beat));
         if current {
@@ -233,7 +236,7 @@
         self.call_silent(now, actions);
     }
 
-    fn note_beat(&mut self, now: Moment, node: &NodeName, beat: &Beat) {
+    fn note_beat(&mut self, now: Moment, node: &NodeName, beat: &NodeHeartbeat) {
         let peer = self.peers.entry(node.clone()).or_insert_with(|| {
             let mut peer = Peer::from_table(now, beat.member.clone(), 0);
             peer.told_heard = false;
@@ -250,7 +253,7 @@
         }
         let stamp = self.keeper.majority_stamp(&self.record, &self.peers);
         self.authority.confirm_by_majority(stamp);
-        let alone = self.record.alone && self.keeper.allows_alone();
+        let alone = self.record.store_suffices && self.keeper.allows_alone();
         self.authority.set_alone(now, alone, &self.times);
         if !self.authority.left(now, &self.times).is_zero() {
             self.starting = None;
--- a/crates/mesh/src/ownership/leader/moves.rs
+++ b/crates/mesh/src/ownership/leader/moves.rs
@@ -38,7 +38,7 @@
         let services: Vec<ServiceName> = self.ledgers.keys().cloned().collect();
         for service in services {
             self.note_servers(now, &service);
-            if self.takeover.is_none() && self.record.complete {
+            if self.takeover.is_none() && self.record.takeover_complete {
                 self.place_service(now, &service);
             }
         }
@@ -172,7 +172,7 @@
             .peers
             .get(node)
             .and_then(|peer| peer.member.server.as_ref());
-        let Some(server) = server.map(|server| server.life.clone()) else {
+        let Some(server) = server.map(|server| server.incarnation.clone()) else {
             return;
         };
         self.fence = self.fence.next();
--- a/crates/mesh/src/ownership/leader/owners_log.rs
+++ b/crates/mesh/src/ownership/leader/owners_log.rs
@@ -55,7 +55,7 @@
         let whole = whole || missed.len() >= self.ranges.len();
         Some(OwnersUpdate {
             version: self.version,
-            whole,
+            full: whole,
             ranges: match whole {
                 true => self.ranges.clone(),
                 false => missed,
--- a/crates/mesh/src/ownership/leader/peer.rs
+++ b/crates/mesh/src/ownership/leader/peer.rs
@@ -6,11 +6,11 @@
 
 use crate::model::HeldRange;
 use crate::model::KeyRange;
-use crate::ownership::Beat;
 use crate::ownership::KeyLoad;
 use crate::ownership::Member;
 use crate::ownership::MemberDigest;
-use crate::ownership::NodeLife;
+use crate::ownership::NodeHeartbeat;
+use crate::ownership::NodeIncarnation;
 use crate::ownership::NodeLoad;
 
 /// How long a node may be silent before others are told to avoid it: three of its beats.
@@ -29,7 +29,7 @@
 pub(super) struct Peer {
     pub(super) member: Member,
     /// Another process that speaks for the node, and since when; it has not proved yet that it lives.
-    newcomer: Option<(NodeLife, Moment)>,
+    newcomer: Option<(NodeIncarnation, Moment)>,
     /// The newest beat's number; earlier ones are late and count for nothing.
     pub(super) sequence: u64,
     /// When it was last heard; none if it is known only from an earlier leader.
@@ -98,14 +98,14 @@
     /// and its keys would be given to a second holder. So another process speaks for the node only
     /// once it has applied an order that this leader sent after it had first heard of it: one that is
     /// gone can't.
-    pub(super) fn is_current(&mut self, now: Moment, beat: &Beat) -> bool {
-        let life = &beat.member.life;
-        if self.heard_at.is_none() || self.member.life == *life {
+    pub(super) fn is_current(&mut self, now: Moment, beat: &NodeHeartbeat) -> bool {
+        let life = &beat.member.incarnation;
+        if self.heard_at.is_none() || self.member.incarnation == *life {
             return true;
         }
         match &self.newcomer {
             Some((known, since)) if known == life => {
-                let current = beat.order.is_some_and(|stamp| stamp >= since.0);
+                let current = beat.applied_reply.is_some_and(|stamp| stamp >= since.0);
                 if current {
                     self.newcomer = None;
                 }
@@ -119,32 +119,32 @@
     }
 
     /// Takes over a beat; tells whether others must learn of a change.
-    pub(super) fn hear(&mut self, now: Moment, beat: &Beat) -> bool {
+    pub(super) fn hear(&mut self, now: Moment, beat: &NodeHeartbeat) -> bool {
         let changed = self.member != beat.member || !self.told_heard;
-        if self.member.life != beat.member.life {
+        if self.member.incarnation != beat.member.incarnation {
             self.vouched = None;
         }
         self.member = beat.member.clone();
         self.sequence = beat.sequence;
         self.heard_at = Some(now);
         self.told_heard = true;
-        self.applied = beat.order.map(Moment);
-        let quiet = Duration::from_millis(u64::from(beat.quiet));
+        self.applied = beat.applied_reply.map(Moment);
+        let quiet = Duration::from_millis(u64::from(beat.prior_age));
         self.obeyed_other = self.applied.map(|_| now.before(quiet));
-        if beat.vouches {
+        if beat.confirms {
             self.vouched = self.applied.max(self.vouched);
         }
-        let left = Duration::from_millis(u64::from(beat.left));
+        let left = Duration::from_millis(u64::from(beat.lease_left));
         self.lease_end = self
             .applied
-            .filter(|_| beat.left > 0)
+            .filter(|_| beat.lease_left > 0)
             .map(|stamp| stamp + left);
-        self.known = beat.known;
+        self.known = beat.holding_complete;
         self.holding.clone_from(&beat.holding);
-        self.leftover.clone_from(&beat.leftover);
+        self.leftover.clone_from(&beat.earlier_grants);
         self.load = beat.load;
-        self.fill += (beat.load.fill() - self.fill) * FILL_WEIGHT;
-        let pace = f64::from(beat.load.pace) / 1_000.0;
+        self.fill += (beat.load.utilization() - self.fill) * FILL_WEIGHT;
+        let pace = f64::from(beat.load.request_ms) / 1_000.0;
         match self.pace > 0.0 {
             true => self.pace += (pace - self.pace) * PACE_WEIGHT,
             false => self.pace = pace,
@@ -153,7 +153,7 @@
             self.key_loads.clone_from(&beat.key_loads);
         }
         self.heartbeat_at = now.before(Duration::from_millis(u64::from(beat.heartbeat_age)));
-        self.intent = beat.intent;
+        self.intent = beat.intent_offset;
         changed
     }
 
--- a/crates/mesh/src/ownership/leader/publishing.rs
+++ b/crates/mesh/src/ownership/leader/publishing.rs
@@ -9,10 +9,10 @@
 use super::leader_machine::Leader;
 use super::owners_log::OwnersLog;
 use super::peer::Peer;
-use crate::ownership::Beat;
-use crate::ownership::LoadSketch;
+use crate::ownership::LoadSummary;
 use crate::ownership::Member;
 use crate::ownership::MemberDigest;
+use crate::ownership::NodeHeartbeat;
 use crate::ownership::OwnedRange;
 use crate::ownership::TableUpdate;
 
@@ -41,15 +41,15 @@
 
 impl Leader {
     /// Returns what a node that sent this beat lacks of the tables.
-    pub(super) fn update_for(&mut self, beat: &Beat) -> TableUpdate {
+    pub(super) fn update_for(&mut self, beat: &NodeHeartbeat) -> TableUpdate {
         let owned = self.owned_ranges();
         self.tables.owners.set(owned);
         let owners = match self.takeover {
             Some(_) => None,
-            None => self.tables.owners.since(beat.owners),
+            None => self.tables.owners.since(beat.owners_version),
         };
-        let members = match beat.table {
-            0 => self.members_for_new(&beat.members),
+        let members = match beat.members_version {
+            0 => self.members_for_new(&beat.member_digests),
             table => self.members_since(table),
         };
         TableUpdate { owners, ..members }
@@ -70,8 +70,8 @@
             };
         }
         TableUpdate {
-            table: self.tables.version,
-            all: self.peers.values().map(Peer::digest).collect(),
+            members_version: self.tables.version,
+            all_members: self.peers.values().map(Peer::digest).collect(),
             members: missing,
             loads: self.loads(),
             ..TableUpdate::default()
@@ -90,12 +90,12 @@
         let removed = self.tables.removed.iter();
         let gone = removed.filter(|(version, _)| *version > table);
         TableUpdate {
-            table: match whole {
+            members_version: match whole {
                 true => self.tables.version,
                 false => changed.last().map_or(table, |peer| peer.changed),
             },
             members: changed.into_iter().map(told).collect(),
-            gone: gone.map(|(_, node)| node.clone()).collect(),
+            removed: gone.map(|(_, node)| node.clone()).collect(),
             loads: match whole {
                 true => self.loads(),
                 false => Vec::new(),
@@ -104,7 +104,7 @@
         }
     }
 
-    fn loads(&self) -> Vec<LoadSketch> {
+    fn loads(&self) -> Vec<LoadSummary> {
         self.peers.values().map(|peer| peer.load.into()).collect()
     }
 
--- a/crates/mesh/src/ownership/leader/record_keeping.rs
+++ b/crates/mesh/src/ownership/leader/record_keeping.rs
@@ -95,7 +95,9 @@
 
     /// Tells whether no record in flight says that the leader needs a majority.
     pub(super) fn allows_alone(&self) -> bool {
-        self.pending.as_ref().is_none_or(|pending| pending.alone)
+        self.pending
+            .as_ref()
+            .is_none_or(|pending| pending.store_suffices)
     }
 
     /// Tells whether silent nodes are to be called again.
@@ -119,7 +121,7 @@
         let wanted = self.wanted_voters(now);
         // Without a majority for long enough to suspect that it is gone, there is most of a lease left
         // to tell the store.
-        let alone = match self.record.alone {
+        let alone = match self.record.store_suffices {
             true => !self.authority.can_join_majority(now, &self.times),
             false => !self.authority.has_majority(now, &self.times),
         };
@@ -133,10 +135,10 @@
             keeper.wanted_since = now;
         }
         let changed = keeper.wanted != self.record.voters
-            || !self.record.complete
-            || alone != self.record.alone;
+            || !self.record.takeover_complete
+            || alone != self.record.store_suffices;
         let calm = now.since(keeper.wanted_since) >= CALM;
-        let left_alone = alone && !self.record.alone;
+        let left_alone = alone && !self.record.store_suffices;
         let due = (changed && calm)
             || left_alone
             || now.since(keeper.written) >= self.times.refresh_interval;
@@ -145,22 +147,28 @@
             keeper.missing = false;
             let end = keeper.end;
             keeper.writing = Some((now, end));
-            actions.push(Action::WriteLeader { end, record });
+            actions.push(Action::WriteLeader {
+                topic_end: end,
+                record,
+            });
         } else if keeper.pending.is_none() && self.takeover.is_none() && due {
             let record = LeaderRecord {
                 voters: match calm {
                     true => keeper.wanted.clone(),
                     false => self.record.voters.clone(),
                 },
-                complete: true,
-                alone,
+                takeover_complete: true,
+                store_suffices: alone,
                 ..self.record.clone()
             };
             let end = keeper.end;
             keeper.writing = Some((now, end));
             keeper.written = now;
             keeper.pending = Some(record.clone());
-            actions.push(Action::WriteLeader { end, record });
+            actions.push(Action::WriteLeader {
+                topic_end: end,
+                record,
+            });
         } else if now.since(keeper.asked) >= self.times.verify_interval {
             keeper.reading = Some(now);
             keeper.asked = now;
@@ -172,7 +180,7 @@
     /// records it reads.
     pub(super) fn may_hold(&self, node: &NodeName) -> bool {
         let pending = self.keeper.pending.as_ref();
-        self.record.has(node) && pending.is_none_or(|pending| pending.has(node))
+        self.record.has_voter(node) && pending.is_none_or(|pending| pending.has_voter(node))
     }
 
     /// Returns the nodes that are heard, and those whose servers may hold keys.
@@ -257,7 +265,7 @@
         peer.heard_at.is_some_and(|at| now.since(at) < most)
     });
     let voters = heard.map(|peer| Voter {
-        node: peer.member.life.node.clone(),
+        node: peer.member.incarnation.node.clone(),
         control: peer.member.control,
     });
     voters.collect()
--- a/crates/mesh/src/ownership/leader/row.rs
+++ b/crates/mesh/src/ownership/leader/row.rs
@@ -6,7 +6,7 @@
 use crate::model::FencingToken;
 use crate::model::Handover;
 use crate::model::KeyRange;
-use crate::model::ServerLife;
+use crate::model::ServerIncarnation;
 
 /// Is one range and who may hold it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -52,7 +52,7 @@
 pub(super) struct Tenure {
     pub(super) node: NodeName,
     /// The server's life; none if its node reports keys of a server that it can't use any more.
-    pub(super) server: Option<ServerLife>,
+    pub(super) server: Option<ServerIncarnation>,
     pub(super) fence: FencingToken,
     /// What was handed over with the grant; it is sent until the server lists the range.
     pub(super) handover: Option<Handover>,
--- a/crates/mesh/src/ownership/leader/settling.rs
+++ b/crates/mesh/src/ownership/leader/settling.rs
@@ -10,11 +10,11 @@
 use super::row::RowState;
 use crate::model::Granting;
 use crate::model::HeldRange;
-use crate::ownership::Beat;
+use crate::ownership::NodeHeartbeat;
 
 impl Leader {
     /// Follows what a node's server has released, and what ended with an earlier life of it.
-    pub(super) fn settle_rows(&mut self, now: Moment, node: &NodeName, beat: &Beat) {
+    pub(super) fn settle_rows(&mut self, now: Moment, node: &NodeName, beat: &NodeHeartbeat) {
         let Some(ledger) = self.ledgers.get_mut(&beat.member.service) else {
             return;
         };
@@ -29,7 +29,7 @@
     }
 
     /// Gives a higher token to what a node's server refused: it has seen one above ours on these keys.
-    pub(super) fn outbid(&mut self, node: &NodeName, beat: &Beat) {
+    pub(super) fn outbid(&mut self, node: &NodeName, beat: &NodeHeartbeat) {
         let Some(ledger) = self.ledgers.get_mut(&beat.member.service) else {
             return;
         };
@@ -40,7 +40,7 @@
             let refused = |held: &HeldRange| {
                 held.fence == tenure.fence && held.keys.common(&row.keys).is_some()
             };
-            if tenure.node == *node && beat.outbid.iter().any(refused) {
+            if tenure.node == *node && beat.stale_grants.iter().any(refused) {
                 self.fence = self.fence.next();
                 let detail = format!("{} at {node}, now token {}", row.keys, self.fence);
                 self.notes.push(("grant_outbid", detail));
@@ -115,26 +115,26 @@
 }
 
 /// Returns what becomes of a range of the node that sent a beat, if anything does.
-fn settled(now: Moment, row: &Row, beat: &Beat) -> Option<RowState> {
+fn settled(now: Moment, row: &Row, beat: &NodeHeartbeat) -> Option<RowState> {
     let server = beat.member.server.as_ref();
     let life = row.state.tenure()?.server.as_ref();
-    let reborn = server.is_some_and(|server| life.is_some_and(|life| *life != server.life));
-    let mut reported = beat.holding.iter().chain(&beat.leftover);
+    let reborn = server.is_some_and(|server| life.is_some_and(|life| *life != server.incarnation));
+    let mut reported = beat.holding.iter().chain(&beat.earlier_grants);
     let held = reported.any(|held| held.keys.common(&row.keys).is_some());
     // A call to the earlier life may have reached the present one.
-    let clean = beat.granting == Granting::ByHeartbeat || (beat.known && !held);
+    let clean = beat.granting == Granting::ByHeartbeat || (beat.holding_complete && !held);
     match &row.state {
         // One host runs one life of its server, so the earlier one is gone.
         _ if reborn && clean => Some(RowState::free()),
         RowState::Held(tenure) if reborn => Some(RowState::leaving(now, tenure)),
         // A restarted node that has not heard its server yet reports nothing held, and its server
         // goes on holding what the node's earlier life granted.
-        _ if !beat.known => None,
+        _ if !beat.holding_complete => None,
         RowState::Held(tenure) if server.is_none_or(|server| server.silent) => {
             Some(RowState::leaving(now, tenure))
         }
         RowState::Leaving { since, to, .. } => {
-            let applied = beat.order.is_some_and(|stamp| stamp >= *since);
+            let applied = beat.applied_reply.is_some_and(|stamp| stamp >= *since);
             (applied && !held).then(|| RowState::Free(released(row, to.clone(), beat)))
         }
         _ => None,
@@ -142,8 +142,8 @@
 }
 
 /// Says how a range became free that its server has released.
-fn released(row: &Row, to: Option<NodeName>, beat: &Beat) -> Freedom {
-    let freed = beat.freed.iter().rev();
+fn released(row: &Row, to: Option<NodeName>, beat: &NodeHeartbeat) -> Freedom {
+    let freed = beat.released.iter().rev();
     let mut freed = freed.filter(|freed| freed.keys.common(&row.keys) == Some(row.keys));
     Freedom {
         lapsed: None,
--- a/crates/mesh/src/ownership/leader/takeover.rs
+++ b/crates/mesh/src/ownership/leader/takeover.rs
@@ -13,7 +13,7 @@
 use crate::model::KeyRange;
 use crate::ownership::LeaderRecord;
 use crate::ownership::LeaseTimes;
-use crate::ownership::ServerCard;
+use crate::ownership::ServerInfo;
 
 /// Follows what is known of earlier leaders' grants.
 ///
@@ -94,14 +94,14 @@
         for (held, own, peer) in reported {
             let server = peer.member.server.as_ref();
             let tenure = Tenure {
-                node: peer.member.life.node.clone(),
-                server: server.map(|server| server.life.clone()),
+                node: peer.member.incarnation.node.clone(),
+                server: server.map(|server| server.incarnation.clone()),
                 fence: held.fence,
                 handover: None,
                 until: now + LeaseTimes::plus_clock_drift(times.lease),
             };
             // A server that does not speak can't be renewed, and another life's grant must not be; its keys are free once it lost them.
-            let state = match own && server.is_some_and(ServerCard::is_grantable) {
+            let state = match own && server.is_some_and(ServerInfo::is_grantable) {
                 true => RowState::Held(tenure),
                 false => RowState::leaving(now, &tenure),
             };
@@ -127,7 +127,7 @@
         let lease = LeaseTimes::plus_clock_drift(times.lease);
         let ended = |since: Moment| now.since(since) >= lease;
         // Until the claim the store may have confirmed a leader that acts on its word alone.
-        let by_store = !last.alone || ended(self.claimed);
+        let by_store = !last.store_suffices || ended(self.claimed);
         let by_majority = deserted(last, peers).is_some_and(ended);
         let storeless = LeaseTimes::plus_clock_drift(times.store_grace + times.lease);
         (by_majority && by_store) || now.since(self.claimed) >= storeless
--- a/crates/mesh/src/ownership/message/handoff.rs
+++ b/crates/mesh/src/ownership/message/handoff.rs
@@ -1,4 +1,4 @@
-//! A leader hands its leadership on.
+//! The handoff of a leadership to another node.
 
 use quetzalrack_core::ids::NodeName;
 use quetzalrack_core::ids::ServiceName;
@@ -6,60 +6,60 @@
 use serde::Serialize;
 
 use super::LeaderRecord;
-use super::NodeLife;
+use super::NodeIncarnation;
 use crate::model::FencingToken;
 use crate::model::Handover;
 use crate::model::KeyRange;
-use crate::model::ServerLife;
+use crate::model::ServerIncarnation;
 
-/// Says who holds a range when the leadership is handed on.
+/// The state of one range at the handoff.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct HandedRange {
+pub struct HandoffRange {
     /// The service.
     pub service: ServiceName,
     /// The keys.
     pub keys: KeyRange,
     /// The holder; none if the range is free.
-    pub holder: Option<HandedHolder>,
-    /// What the next holder of a free range needs.
+    pub holder: Option<HandoffHolder>,
+    /// The handover token for the next holder of a free range.
     pub handover: Option<Handover>,
 }
 
-/// Is the holder of a handed range.
+/// The holder of a range at the handoff.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct HandedHolder {
+pub struct HandoffHolder {
     /// Its node.
     pub node: NodeName,
-    /// The server's life, if known.
-    pub server: Option<ServerLife>,
-    /// The token.
+    /// The server's incarnation, if known.
+    pub server: Option<ServerIncarnation>,
+    /// The fencing token of the grant.
     pub fence: FencingToken,
-    /// For how many milliseconds more its lease may last.
-    pub left: u32,
+    /// The longest time, in milliseconds, for which its lease may still last.
+    pub lease_left: u32,
     /// Whether it is to release the range.
-    pub leaving: bool,
+    pub releasing: bool,
 }
 
-/// Is everything that a leader knows, for its successor. Whoever sends it never acts again, so a
-/// late one can only come too late.
+/// Everything that a leader knows, for its successor. The sender has stopped acting as a leader, so a
+/// handoff that arrives late can do no harm.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Handoff {
-    /// The successor; a later process of its node is none.
-    pub to: NodeLife,
-    /// A beat of the successor that had come when this was written: on the successor's clock, what
-    /// follows was true at some time after it was sent.
+    /// The successor; no other incarnation of its node may take over.
+    pub successor: NodeIncarnation,
+    /// The sequence number of a heartbeat that the leader had received from the successor when it wrote
+    /// this. The fields below were true at some time after the successor sent that heartbeat.
     pub sequence: u64,
     /// The record that names the successor.
     pub record: LeaderRecord,
-    /// Where the leader's topic ends.
-    pub end: u64,
-    /// The highest token that was given.
+    /// The end offset of the leader's topic.
+    pub topic_end: u64,
+    /// The highest fencing token issued so far.
     pub fence: FencingToken,
-    /// For how many milliseconds more the voters' acknowledgements count without the store.
-    pub storeless: u32,
-    /// All keys of all services that are divided by key.
-    pub ranges: Vec<HandedRange>,
+    /// How long, in milliseconds, the voters' confirmations still count while the store is unreachable.
+    pub store_grace: u32,
+    /// All keys of every service that is divided by key.
+    pub ranges: Vec<HandoffRange>,
 }
--- a/crates/mesh/src/ownership/message/leader_record.rs
+++ b/crates/mesh/src/ownership/message/leader_record.rs
@@ -7,41 +7,43 @@
 use serde::Serialize;
 
 use super::Epoch;
-use super::NodeLife;
+use super::NodeIncarnation;
 
-/// Is a node whose acknowledgement counts for a leadership; only such nodes may hold keys.
+/// A node whose confirmation counts towards the leader's majority. Only the backend servers of voters
+/// may hold keys.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct Voter {
     /// The node.
     pub node: NodeName,
-    /// Where it takes datagrams.
+    /// Where it receives datagrams.
     pub control: SocketAddr,
 }
 
-/// Is what the store keeps of the leadership: the newest record decides.
+/// The record of a leadership in the store; the newest one names the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// The epoch.
     pub epoch: Epoch,
     /// The leader.
-    pub leader: NodeLife,
-    /// Where the leader takes datagrams.
+    pub leader: NodeIncarnation,
+    /// Where the leader receives datagrams.
     pub control: SocketAddr,
-    /// Who may hold keys. A leader changes this only when it has accounted for all keys, so that
-    /// the next one finds every possible holder here.
+    /// The nodes whose servers may hold keys. A leader changes them only after it has accounted for all
+    /// keys, so that the next leader finds every possible holder here.
     pub voters: Vec<Voter>,
-    /// Whether this leader has accounted for all keys; until then its predecessor's grants matter.
-    pub complete: bool,
-    /// Whether the leader may act on the store's word alone. Without this it needs a majority of the
-    /// voters, so the next leader need not wait for what the store may have confirmed until its claim.
-    pub alone: bool,
+    /// Whether this leader has accounted for all keys. Until then the grants of its predecessor may still
+    /// be in force.
+    pub takeover_complete: bool,
+    /// Whether confirmations by the store alone let the leader act. If not, it needs a majority of the
+    /// voters, and the next leader need not wait for leases based on confirmations by the store.
+    pub store_suffices: bool,
 }
 
 impl LeaderRecord {
     /// Tells whether a node is a voter.
-    pub fn has(&self, node: &NodeName) -> bool {
+    pub fn has_voter(&self, node: &NodeName) -> bool {
         self.voters.iter().any(|voter| voter.node == *node)
     }
 
@@ -50,12 +52,12 @@
         self.voters.len() / 2 + 1
     }
 
-    /// Writes the record as the store keeps it.
+    /// Encodes the record for the store.
     pub fn encode(&self) -> Result<Vec<u8>, postcard::Error> {
         postcard::to_allocvec(self)
     }
 
-    /// Reads a record.
+    /// Decodes a record from the store.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         postcard::from_bytes(bytes)
     }
--- /dev/null
+++ b/crates/mesh/src/ownership/message/leader_reply.rs
@@ -0,0 +1,49 @@
+//! Replies of the leader to a node's heartbeats.
+
+use serde::Deserialize;
+use serde::Serialize;
+
+use super::Epoch;
+use super::NodeIncarnation;
+use super::TableUpdate;
+use crate::model::GrantedRange;
+use crate::model::ServerIncarnation;
+
+/// Everything that a backend server is to hold.
+#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Serialize, Deserialize)]
+pub struct Assignment {
+    /// The server; the assignment does not apply to its later incarnations.
+    pub server: ServerIncarnation,
+    /// Its ranges. It is to release any other range.
+    pub ranges: Vec<GrantedRange>,
+}
+
+/// The reply of a leader to one heartbeat of a node.
+#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Serialize, Deserialize)]
+pub struct LeaderReply {
+    /// The leader's epoch.
+    pub epoch: Epoch,
+    /// The leader.
+    pub leader: NodeIncarnation,
+    /// The nonce of the node's incarnation; every incarnation numbers its heartbeats anew.
+    pub incarnation: u64,
+    /// The sequence number of the heartbeat.
+    pub sequence: u64,
+    /// When the leader sent this reply, on the leader's clock.
+    pub sent_at: u64,
+    /// How long, in milliseconds, the node's lease lasts, counted from when the node sent the heartbeat.
+    pub lease: u32,
+    /// Whether keys are about to be granted to the node's backend server. The node then sends its next
+    /// heartbeat early, since the keys have no owner until it learns of the grant.
+    pub grants_pending: bool,
+    /// What the node's backend server is to hold; none until the leader knows what it holds now.
+    pub assignment: Option<Assignment>,
+    /// Changes to the node's copy of the tables.
+    pub update: TableUpdate,
+    /// The offset up to which the leader has read the operators' intent.
+    pub intent_offset: u64,
+    /// How many milliseconds ago the leader knew every change of the intent acknowledged until then.
+    pub intent_age: u32,
+}
--- a/crates/mesh/src/ownership/message/member.rs
+++ b/crates/mesh/src/ownership/message/member.rs
@@ -1,4 +1,4 @@
-//! A node of the fleet.
+//! The description of a node.
 
 use std::net::SocketAddr;
 
@@ -7,27 +7,27 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::NodeLife;
-use super::ServerCard;
+use super::NodeIncarnation;
+use super::ServerInfo;
 
-/// Describes a node to the others.
+/// What a node tells the other nodes about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Member {
-    /// The node and its process.
-    pub life: NodeLife,
+    /// The node and its current process.
+    pub incarnation: NodeIncarnation,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where it takes datagrams.
+    /// Where it receives datagrams.
     pub control: SocketAddr,
-    /// Where it takes requests from other nodes.
+    /// Where it receives requests from other nodes.
     pub traffic: SocketAddr,
     /// The service of its backend server.
     pub service: ServiceName,
-    /// Its backend server, if that can be used.
-    pub server: Option<ServerCard>,
-    /// Whether its host's link is too narrow to lead where others can.
-    pub narrow: bool,
+    /// Its backend server, if usable.
+    pub server: Option<ServerInfo>,
+    /// Whether its host's link is so narrow that other nodes are preferred as leader.
+    pub narrow_link: bool,
     /// Whether the node is shutting down.
     pub leaving: bool,
 }
--- a/crates/mesh/src/ownership/message/node_life.rs
+++ b/crates/mesh/src/ownership/message/node_incarnation.rs
@@ -1,4 +1,4 @@
-//! One process of a node.
+//! One run of a node's process.
 
 use std::fmt;
 
@@ -6,19 +6,19 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Names one process of a node. A host runs one at a time, so a later life proves that the earlier
-/// one is gone.
+/// Identifies one run of a node's process. A host runs one at a time, so a later incarnation proves that
+/// the earlier one has ended.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
-pub struct NodeLife {
+pub struct NodeIncarnation {
     /// The node.
     pub node: NodeName,
     /// A random number, drawn at the start of the process.
-    pub life: u64,
+    pub nonce: u64,
 }
 
-impl fmt::Display for NodeLife {
+impl fmt::Display for NodeIncarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}@{:x}", self.node, self.life)
+        write!(f, "{}@{:x}", self.node, self.nonce)
     }
 }
--- a/crates/mesh/src/ownership/message/node_load.rs
+++ b/crates/mesh/src/ownership/message/node_load.rs
@@ -3,25 +3,25 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Is what a node counts of the work at its backend server.
+/// The load that a node measures at its backend server and at its host's link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct NodeLoad {
-    /// Requests that wait or run.
-    pub busy: u16,
-    /// How many may run at once; 0 while the server takes no work.
+    /// The number of requests that run or wait.
+    pub requests: u16,
+    /// How many may run at once; 0 while the server accepts no work.
     pub limit: u16,
-    /// How many times as long as usual its work takes, in percent.
-    pub slowness: u16,
-    /// How many milliseconds the requests take that make up most of its work; 0 if none has ended.
-    pub pace: u16,
-    /// For how many milliseconds the host's link is busy with large answers.
-    pub link: u16,
+    /// How long its requests take, in percent of the usual time.
+    pub slowdown_percent: u16,
+    /// The duration, in milliseconds, of the requests that make up most of its work; 0 if none has ended.
+    pub request_ms: u16,
+    /// How long, in milliseconds, the host's link needs for the large responses that wait for it.
+    pub backlog_ms: u16,
 }
 
 impl NodeLoad {
-    /// Returns how full the server is, as a share of what it does at once.
-    pub fn fill(&self) -> f64 {
-        f64::from(self.busy) / f64::from(self.limit.max(1))
+    /// Returns the running and waiting requests as a multiple of what may run at once.
+    pub fn utilization(&self) -> f64 {
+        f64::from(self.requests) / f64::from(self.limit.max(1))
     }
 }
--- a/crates/mesh/src/ownership/message/owners_update.rs
+++ b/crates/mesh/src/ownership/message/owners_update.rs
@@ -1,4 +1,4 @@
-//! Changes of who owns which keys.
+//! Changes to the table of owners.
 
 use quetzalrack_core::ids::NodeName;
 use quetzalrack_core::ids::ServiceName;
@@ -7,7 +7,7 @@
 
 use crate::model::KeyRange;
 
-/// Says which node's backend server owns a range of keys.
+/// A range of keys and the node whose backend server owns it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct OwnedRange {
@@ -15,22 +15,22 @@
     pub service: ServiceName,
     /// The keys.
     pub keys: KeyRange,
-    /// The node; none if the range has no owner any more.
+    /// The node; none if the range has no owner now.
     pub node: Option<NodeName>,
 }
 
-/// Is what has changed since the version of the owners that a node named.
+/// The changes to the table of owners since the version in a node's heartbeat.
 ///
-/// While busy keys move several times a second, the whole table in every order would be more than a
-/// narrow link carries, and the leader's orders would come too late to be heard.
+/// While busy keys move several times a second, the whole table in every reply would exceed what a narrow
+/// link carries, and the leader's replies would arrive too late to count.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct OwnersUpdate {
-    /// The version after this.
+    /// The version of the table with these changes.
     pub version: u64,
-    /// Whether the ranges are all there are; otherwise they are laid over what is known, one after
-    /// the other.
-    pub whole: bool,
-    /// The ranges.
+    /// Whether `ranges` replaces the whole table. If not, its ranges are applied to the known table in
+    /// order.
+    pub full: bool,
+    /// The owned ranges.
     pub ranges: Vec<OwnedRange>,
 }
--- a/crates/mesh/src/ownership/message/peer_message.rs
+++ b/crates/mesh/src/ownership/message/peer_message.rs
@@ -1,74 +1,74 @@
-//! Everything that nodes send each other as datagrams.
+//! The datagrams between nodes.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::Beat;
 use super::Epoch;
 use super::Handoff;
 use super::LeaderRecord;
-use super::NodeLife;
-use super::Order;
+use super::LeaderReply;
+use super::NodeHeartbeat;
+use super::NodeIncarnation;
 
-/// Is one datagram.
+/// One datagram between nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// A node speaks to its leader.
-    Beat(Box<Beat>),
-    /// A leader answers.
-    Order(Box<Order>),
-    /// A node that does not hear the leader of an epoch asks another whether it does.
-    Ask {
-        /// Who asks.
-        from: NodeLife,
-        /// The epoch.
+    /// A heartbeat of a node to its leader.
+    Heartbeat(Box<NodeHeartbeat>),
+    /// The leader's reply to a heartbeat.
+    LeaderReply(Box<LeaderReply>),
+    /// The question of a node without contact to its leader whether a peer has contact.
+    LeaderQuery {
+        /// The sender.
+        from: NodeIncarnation,
+        /// The leader's epoch.
         epoch: Epoch,
-        /// How far it has read the operators' intent.
-        intent: u64,
-        /// Where it tells others what that is.
+        /// The offset up to which the sender has read the operators' intent.
+        intent_offset: u64,
+        /// Where peers can fetch that intent.
         traffic: SocketAddr,
     },
-    /// The answer.
-    Say {
-        /// Who answers.
-        from: NodeLife,
-        /// The epoch that was asked for.
+    /// The reply to a [`PeerMessage::LeaderQuery`].
+    LeaderStatus {
+        /// The sender.
+        from: NodeIncarnation,
+        /// The epoch of the query.
         epoch: Epoch,
-        /// Whether it hears that leader, or a later one.
-        hears: bool,
-        /// How far it has read the operators' intent.
-        intent: u64,
-        /// Where it tells others what that is.
+        /// Whether the leader of that epoch, or a later one, replies to the sender.
+        leader_responsive: bool,
+        /// The offset up to which the sender has read the operators' intent.
+        intent_offset: u64,
+        /// Where peers can fetch that intent.
         traffic: SocketAddr,
     },
-    /// A leader speaks to a node that does not: a new leader, or a node that knows nobody because
-    /// it has started while the store is away.
-    Lead(Box<LeaderRecord>),
-    /// A leader that shuts down hands its leadership on; it has stopped acting.
+    /// Names the leader to a node that sends it no heartbeats: after a change of leader, or if the node
+    /// knows no leader because it started while the store was unreachable.
+    LeaderAnnouncement(Box<LeaderRecord>),
+    /// The handoff of a leader that shuts down; it has stopped acting as the leader.
     Handoff(Box<Handoff>),
-    /// The leader of an epoch stands down; the next is to be found at once.
+    /// The leader of an epoch has stood down; the nodes look for the next one at once.
     Resign {
-        /// Its epoch.
+        /// The leader's epoch.
         epoch: Epoch,
     },
-    /// The leader has granted keys to a node's server: the node is to speak at once, since it is told
-    /// with the answer, and the keys have no owner until then.
-    Prompt {
+    /// Asks a node whose server was granted keys for a heartbeat at once. The reply to it tells the node
+    /// of the grant, and the keys have no owner until then.
+    HeartbeatRequest {
         /// The leader's epoch.
         epoch: Epoch,
     },
 }
 
 impl PeerMessage {
-    /// Writes the message as a datagram.
+    /// Encodes the message as a datagram.
     pub fn encode(&self) -> Result<Vec<u8>, postcard::Error> {
         postcard::to_allocvec(self)
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         postcard::from_bytes(bytes)
     }
--- a/crates/mesh/src/ownership/message/table_update.rs
+++ b/crates/mesh/src/ownership/message/table_update.rs
@@ -1,29 +1,30 @@
-//! Changes of what every node knows of the others.
+//! Changes to the tables that every node keeps.
 
 use quetzalrack_core::ids::NodeName;
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::LoadSketch;
+use super::LoadSummary;
 use super::Member;
 use super::MemberDigest;
 use super::OwnersUpdate;
 
-/// Is what has changed since the versions that a node named.
+/// The changes to the tables since the versions in a node's heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct TableUpdate {
-    /// The version of the member table after this.
-    pub table: u64,
-    /// All members there are, for a node that had none of this leader's versions. Others are gone.
-    pub all: Vec<MemberDigest>,
-    /// Members that changed, and whether the leader hears them.
+    /// The version of the member table with these changes.
+    pub members_version: u64,
+    /// The digests of all members, for a node that had no version of this leader's table. The node
+    /// removes every other member.
+    pub all_members: Vec<MemberDigest>,
+    /// The members that changed, each with whether the leader receives its heartbeats.
     pub members: Vec<(Member, bool)>,
-    /// Nodes that are gone.
-    pub gone: Vec<NodeName>,
-    /// The loads of all members in the order of their names, for a node whose table is up to date
-    /// with this: names would be nine tenths of it.
-    pub loads: Vec<LoadSketch>,
-    /// The owners, if they changed.
+    /// The nodes that were removed.
+    pub removed: Vec<NodeName>,
+    /// The loads of all members in the order of their names, for a node whose member table is up to date
+    /// after this update. With the names the list would be ten times as long.
+    pub loads: Vec<LoadSummary>,
+    /// The changes to the table of owners, if any.
     pub owners: Option<OwnersUpdate>,
 }
--- a/crates/mesh/src/ownership/node_machine/finding.rs
+++ b/crates/mesh/src/ownership/node_machine/leader_change.rs
@@ -1,4 +1,4 @@
-//! Finding a leader, and becoming one.
+//! Finding a new leader, following it, and becoming the leader.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 use rand::Rng;
 
 use super::NodeMachine;
-use super::follower::Following;
-use super::note::note;
+use super::followed_leader::FollowedLeader;
+use super::log_entry::log_event;
 use crate::boundary::AppendOutcome;
 use crate::ownership::Action;
 use crate::ownership::Epoch;
@@ -18,8 +18,8 @@
 use crate::ownership::leader::Leader;
 use crate::ownership::leader::LeaderClaim;
 
-/// How often other nodes are asked whether they hear the leader.
-const ASK_PAUSE: Duration = Duration::from_millis(400);
+/// How often peers are asked whether the leader responds to them.
+const QUERY_INTERVAL: Duration = Duration::from_millis(400);
 
 impl NodeMachine {
     pub(super) fn tick(&mut self, now: Moment, actions: &mut Vec<Action>) {
@@ -28,11 +28,11 @@
             return;
         }
         self.send_handoff(actions);
-        if self.hears_leader(now) {
+        if self.is_leader_responsive(now) {
             self.search.reset();
             return;
         }
-        self.ask_others(now, actions);
+        self.query_voters(now, actions);
         let roll = self.random.random();
         match self.search.step(now, &self.profile, &self.times, roll) {
             SearchAction::Wait => {}
@@ -44,34 +44,34 @@
         }
     }
 
-    pub(super) fn hears_leader(&self, now: Moment) -> bool {
-        self.following.as_ref().is_some_and(|following| {
-            let last = following.heard.unwrap_or(following.since);
-            !following.resigned && now.since(last) < self.times.leader_timeout
+    pub(super) fn is_leader_responsive(&self, now: Moment) -> bool {
+        self.followed.as_ref().is_some_and(|followed| {
+            let last = followed.reply_at.unwrap_or(followed.since);
+            !followed.resigned && now.since(last) < self.times.leader_timeout
         })
     }
 
-    pub(super) fn ask_others(&mut self, now: Moment, actions: &mut Vec<Action>) {
-        let Some(following) = &self.following else {
+    pub(super) fn query_voters(&mut self, now: Moment, actions: &mut Vec<Action>) {
+        let Some(followed) = &self.followed else {
             return;
         };
-        if now.since(self.asked) < ASK_PAUSE {
+        if now.since(self.queried_at) < QUERY_INTERVAL {
             return;
         }
-        self.asked = now;
-        let record = &following.record;
+        self.queried_at = now;
+        let record = &followed.record;
         let others = record
             .voters
             .iter()
-            .filter(|voter| voter.node != *self.me());
+            .filter(|voter| voter.node != *self.own_name());
         for voter in others {
-            let ask = PeerMessage::Ask {
-                from: self.profile.life.clone(),
+            let query = PeerMessage::LeaderQuery {
+                from: self.profile.incarnation.clone(),
                 epoch: record.epoch,
-                intent: self.intent.offset,
+                intent_offset: self.intent.offset,
                 traffic: self.profile.traffic,
             };
-            actions.push(Action::Send(voter.control, ask));
+            actions.push(Action::Send(voter.control, query));
         }
     }
 
@@ -95,20 +95,20 @@
             .unwrap_or_default();
         let record = LeaderRecord {
             epoch,
-            leader: self.profile.life.clone(),
+            leader: self.profile.incarnation.clone(),
             control: self.profile.control,
             voters,
-            complete: false,
-            alone: true,
+            takeover_complete: false,
+            store_suffices: true,
         };
-        note(
+        log_event(
             actions,
             "claim",
             epoch,
             format!("topic ends at {topic_end}"),
         );
         actions.push(Action::WriteLeader {
-            end: topic_end,
+            topic_end,
             record: record.clone(),
         });
         self.claim = Some(LeaderClaim {
@@ -119,7 +119,7 @@
         });
     }
 
-    pub(super) fn learn_write(
+    pub(super) fn handle_write(
         &mut self,
         now: Moment,
         outcome: AppendOutcome,
@@ -131,53 +131,55 @@
         }
         match outcome {
             AppendOutcome::Appended => {
-                if let Some(start) = self.claim.take() {
-                    self.lead(now, start, actions);
+                if let Some(claim) = self.claim.take() {
+                    self.lead(now, claim, actions);
                 }
             }
             AppendOutcome::Overtaken | AppendOutcome::Refused => {
                 self.claim = None;
                 self.search.reset();
             }
-            // It may stand or land later; the next reads tell.
+            // The claim may have been appended, or may still be; the next reads tell.
             AppendOutcome::Unknown => self.search.reset(),
         }
     }
 
-    pub(super) fn lead(&mut self, now: Moment, start: LeaderClaim, actions: &mut Vec<Action>) {
-        let epoch = start.record.epoch;
-        note(
+    pub(super) fn lead(&mut self, now: Moment, claim: LeaderClaim, actions: &mut Vec<Action>) {
+        let epoch = claim.record.epoch;
+        log_event(
             actions,
             "leads",
             epoch,
-            format!("{} voters", start.record.voters.len()),
+            format!("{} voters", claim.record.voters.len()),
         );
-        self.follow(now, start.record.clone(), actions);
+        self.follow(now, claim.record.clone(), actions);
         let directory = &self.directory;
         let intent = self.intent.clone();
-        let leader = Leader::new(now, start, directory, intent, self.times);
-        // The directory's versions are another leader's; its content is this one's start.
+        let leader = Leader::new(now, claim, directory, intent, self.times);
+        // The version numbers of the directory belong to another leader; its contents are where this
+        // leader starts.
         self.leader = Some(leader);
-        self.call_all(actions);
+        self.announce_leader(actions);
     }
 
-    /// Tells all known nodes who leads.
-    pub(super) fn call_all(&self, actions: &mut Vec<Action>) {
+    /// Announces this node as the leader to all known nodes.
+    pub(super) fn announce_leader(&self, actions: &mut Vec<Action>) {
         let Some(leader) = &self.leader else {
             return;
         };
         for (node, entry) in &self.directory.members {
-            if *node != self.profile.life.node {
-                let lead = PeerMessage::Lead(Box::new(leader.record().clone()));
-                actions.push(Action::Send(entry.member.control, lead));
+            if *node != self.profile.incarnation.node {
+                let announcement =
+                    PeerMessage::LeaderAnnouncement(Box::new(leader.record().clone()));
+                actions.push(Action::Send(entry.member.control, announcement));
             }
         }
     }
 
-    pub(super) fn learn_read(
+    pub(super) fn handle_leader_read(
         &mut self,
         now: Moment,
-        asked: Moment,
+        begun: Moment,
         read: LeaderRead,
         actions: &mut Vec<Action>,
     ) {
@@ -185,7 +187,7 @@
             self.read_epoch = self.read_epoch.max(Some(record.epoch));
         }
         if let Some(leader) = &mut self.leader {
-            leader.handle_read(asked, read);
+            leader.handle_read(begun, read);
             return;
         }
         let LeaderRead::Newest(record, end) = read else {
@@ -196,68 +198,66 @@
         let Some(record) = record else {
             return;
         };
-        if let Some(start) = self
+        if let Some(claim) = self
             .claim
-            .take_if(|start| start.record.epoch <= record.epoch)
-            && start.record == record
+            .take_if(|claim| claim.record.epoch <= record.epoch)
+            && claim.record == record
         {
-            // Our claim's answer was lost; it stood when this was asked.
-            let start = LeaderClaim {
-                sent_at: asked,
+            // The claim was appended, but the store's response was lost. The claim was already the newest
+            // record when this read began.
+            let claim = LeaderClaim {
+                sent_at: begun,
                 topic_end: end,
-                ..start
+                ..claim
             };
-            self.lead(now, start, actions);
+            self.lead(now, claim, actions);
             return;
         }
         self.follow(now, record, actions);
     }
 
-    /// Follows the leader of a later epoch, or takes note of what the one that is followed has
-    /// written since.
+    /// Follows the leader of a later epoch, or updates the record of the leader already followed.
     ///
-    /// A leader's first record names the voters of its predecessor, and the very first one none at
-    /// all. Whoever kept that would ask nobody whether the leader is still heard, and could only wait
-    /// until its refreshes are missed.
+    /// A leader's first record names the voters of its predecessor, and the very first leader's none at all.
+    /// A node that kept it would ask no peer whether the leader still responds, and could only wait until
+    /// the leader stops refreshing its record.
     pub(super) fn follow(&mut self, now: Moment, record: LeaderRecord, actions: &mut Vec<Action>) {
         let epoch = record.epoch;
-        if let Some(following) = &mut self.following
-            && following.record.epoch == epoch
-            && following.record.leader == record.leader
+        if let Some(followed) = &mut self.followed
+            && followed.record.epoch == epoch
+            && followed.record.leader == record.leader
         {
-            following.record = record;
+            followed.record = record;
             return;
         }
-        let known = self
-            .following
-            .as_ref()
-            .map(|following| following.record.epoch);
+        let known = self.followed.as_ref().map(|followed| followed.record.epoch);
         if known.is_some_and(|known| known >= epoch) {
             return;
         }
-        note(
+        log_event(
             actions,
             "follows",
             epoch,
             format!("leader {}", record.leader),
         );
-        let heard = self.following.as_ref().and_then(|earlier| earlier.heard);
-        self.obeyed = heard.map_or(self.obeyed, |heard| heard.max(self.obeyed));
-        // What the earlier leader answers from now on is void, or this node could count for both.
+        let reply_at = self.followed.as_ref().and_then(|earlier| earlier.reply_at);
+        self.prior_reply = reply_at.map_or(self.prior_reply, |at| at.max(self.prior_reply));
+        // Later replies of the earlier leader are ignored; otherwise this node could confirm both leaders.
         self.outstanding.clear();
         self.directory.start_epoch(epoch);
-        self.keep_offered(now);
-        // A record that names an earlier process of this very node names nobody who lives.
+        self.keep_held_ranges(now);
+        // An earlier process of this node has ended.
         let leader = &record.leader;
-        let dead = leader.node == self.profile.life.node && *leader != self.profile.life;
-        self.following = Some(Following {
+        let ended =
+            leader.node == self.profile.incarnation.node && *leader != self.profile.incarnation;
+        self.followed = Some(FollowedLeader {
             record,
             since: now,
-            heard: None,
-            stamp: None,
-            resigned: dead,
+            reply_at: None,
+            reply_sent: None,
+            resigned: ended,
         });
         self.search.reset();
-        self.beat_due = now;
+        self.heartbeat_due = now;
     }
 }
--- a/crates/mesh/src/ownership/node_machine/note.rs
+++ b/crates/mesh/src/ownership/node_machine/log_entry.rs
@@ -1,4 +1,4 @@
-//! Lines for the log.
+//! Log entries of the state machine.
 
 use super::NodeMachine;
 use crate::model::GrantedRange;
@@ -6,20 +6,25 @@
 use crate::ownership::Assignment;
 use crate::ownership::Epoch;
 
-/// Is a line for the log: what the node believes from now on.
+/// One line for the log: a decision or a change of what the node believes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Note {
-    /// What happened, as a short constant.
+pub struct LogEntry {
+    /// The value of the `event` key.
     pub event: &'static str,
-    /// The epoch that it concerns.
+    /// The epoch that the event concerns.
     pub epoch: Epoch,
-    /// The inputs that decided it.
+    /// The inputs of the decision.
     pub detail: String,
 }
 
 /// Adds a line for the log.
-pub(super) fn note(actions: &mut Vec<Action>, event: &'static str, epoch: Epoch, detail: String) {
-    actions.push(Action::Note(Note {
+pub(super) fn log_event(
+    actions: &mut Vec<Action>,
+    event: &'static str,
+    epoch: Epoch,
+    detail: String,
+) {
+    actions.push(Action::Log(LogEntry {
         event,
         epoch,
         detail,
@@ -27,15 +32,15 @@
 }
 
 impl NodeMachine {
-    /// Notes which ranges an order adds to the lease or leaves out.
-    pub(super) fn note_assigned(
+    /// Logs the ranges that an assignment adds to the lease and those that it drops.
+    pub(super) fn log_assigned(
         &self,
         epoch: Epoch,
         assignment: &Assignment,
         actions: &mut Vec<Action>,
     ) {
         let known = self.lease.as_ref().map(|lease| &lease.assignment);
-        let lacks = |ranges: &[GrantedRange], other: &[GrantedRange]| {
+        let not_in = |ranges: &[GrantedRange], other: &[GrantedRange]| {
             let missing = ranges
                 .iter()
                 .filter(|range| other.iter().all(|known| known.held != range.held));
@@ -43,11 +48,11 @@
             missing.join(" ")
         };
         let known = known.map_or(&[][..], |known| &known.ranges);
-        let added = lacks(&assignment.ranges, known);
-        let dropped = lacks(known, &assignment.ranges);
+        let added = not_in(&assignment.ranges, known);
+        let dropped = not_in(known, &assignment.ranges);
         if !added.is_empty() || !dropped.is_empty() {
             let detail = format!("added: {added}; dropped: {dropped}");
-            note(actions, "keys_assigned", epoch, detail);
+            log_event(actions, "keys_assigned", epoch, detail);
         }
     }
 }
--- a/crates/mesh/src/ownership/node_machine/mod.rs
+++ b/crates/mesh/src/ownership/node_machine/mod.rs
@@ -1,16 +1,16 @@
-//! The control of one node.
+//! The state machine of one node.
 
-mod ending;
-mod finding;
-mod follower;
-mod following;
-mod intent_watch;
+mod followed_leader;
+mod intent_poller;
+mod leader_change;
+mod log_entry;
 mod node_profile;
-mod note;
-mod serving;
+mod peer_messages;
+mod server_events;
+mod stand_down;
 
+pub use log_entry::LogEntry;
 pub use node_profile::NodeProfile;
-pub use note::Note;
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -32,16 +32,16 @@
 use crate::ownership::KeyLoad;
 use crate::ownership::LeaseTimes;
 use crate::ownership::NodeLoad;
-use crate::ownership::ServerCard;
+use crate::ownership::ServerInfo;
 use crate::ownership::election::LeaderSearch;
-use crate::ownership::holder::Lease;
-use crate::ownership::holder::ServerWatch;
 use crate::ownership::leader::Leader;
 use crate::ownership::leader::LeaderClaim;
-use follower::Following;
-use intent_watch::IntentWatch;
-use intent_watch::Reliance;
-use note::note;
+use crate::ownership::server_grants::Lease;
+use crate::ownership::server_grants::ServerTracker;
+use followed_leader::FollowedLeader;
+use intent_poller::IntentPoller;
+use intent_poller::LeaderContact;
+use log_entry::log_event;
 
 /// Decides for one node whom it follows, whether it leads, and what its backend server may hold.
 #[derive(Clone, Debug)]
@@ -50,90 +50,96 @@
     times: LeaseTimes,
     random: ChaCha8Rng,
     started: Moment,
-    server: ServerWatch,
-    server_gone: bool,
+    server: ServerTracker,
+    server_lost: bool,
     lease: Option<Lease>,
-    following: Option<Following>,
+    followed: Option<FollowedLeader>,
     /// The newest epoch that this process has read in the store.
     read_epoch: Option<Epoch>,
-    /// When an order of an earlier leader was last obeyed; the start of this process at first, since
-    /// an earlier one may have obeyed until then.
-    obeyed: Moment,
-    /// Epochs up to this one are over for this process.
-    stood_down: Epoch,
+    /// When the last reply of an earlier leader arrived. Initially the start of this process, since the
+    /// process before it may have applied replies until then.
+    prior_reply: Moment,
+    /// The newest epoch in which this process has stood down.
+    ended_epoch: Epoch,
     directory: Directory,
     search: LeaderSearch,
-    asked: Moment,
+    /// When voters were last asked about the leader.
+    queried_at: Moment,
     leader: Option<Leader>,
     claim: Option<LeaderClaim>,
     intent: OperatorsIntent,
-    intent_watch: IntentWatch,
-    fetched: Moment,
+    intent_poller: IntentPoller,
+    /// When the intent was last fetched from a peer.
+    fetched_at: Moment,
     load: NodeLoad,
     key_loads: Vec<KeyLoad>,
     key_loads_sent: Moment,
     leaving: bool,
-    /// What is handed on, until its receiver is followed.
-    handing: Option<(SocketAddr, Handoff)>,
-    beat_due: Moment,
+    /// The handoff and the address of the successor, until this node follows the successor.
+    handoff: Option<(SocketAddr, Handoff)>,
+    heartbeat_due: Moment,
     sequence: u64,
+    /// The sequence numbers and send times of heartbeats that got no reply yet.
     outstanding: VecDeque<(u64, Moment)>,
-    /// When the newest beats were sent, answered or not.
+    /// The sequence numbers and send times of the newest heartbeats, with or without a reply.
     sent: VecDeque<(u64, Moment)>,
-    told: Option<(Option<ServerCard>, Vec<HeldRange>)>,
+    /// What the newest heartbeat to the leader said of the server.
+    reported: Option<(Option<ServerInfo>, Vec<HeldRange>)>,
 }
 
 impl NodeMachine {
-    /// Starts a node that knows nobody.
+    /// Creates the state machine of a node that knows no peers.
     pub fn new(now: Moment, profile: NodeProfile, times: LeaseTimes) -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(profile.seed),
             profile,
             times,
             started: now,
-            server: ServerWatch::default(),
-            server_gone: false,
+            server: ServerTracker::default(),
+            server_lost: false,
             lease: None,
-            following: None,
+            followed: None,
             read_epoch: None,
-            obeyed: now,
-            stood_down: Epoch::default(),
+            prior_reply: now,
+            ended_epoch: Epoch::default(),
             directory: Directory::default(),
             search: LeaderSearch::default(),
-            asked: Moment::default(),
+            queried_at: Moment::default(),
             leader: None,
             claim: None,
             intent: OperatorsIntent::default(),
-            intent_watch: IntentWatch::default(),
-            fetched: Moment::default(),
+            intent_poller: IntentPoller::default(),
+            fetched_at: Moment::default(),
             load: NodeLoad::default(),
             key_loads: Vec::new(),
             key_loads_sent: Moment::default(),
             leaving: false,
-            handing: None,
-            beat_due: now,
+            handoff: None,
+            heartbeat_due: now,
             sequence: 0,
             outstanding: VecDeque::new(),
             sent: VecDeque::new(),
-            told: None,
+            reported: None,
         }
     }
 
-    /// Takes one event and returns what follows from it.
+    /// Handles one event and returns the actions that follow from it.
     pub fn step(&mut self, now: Moment, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
             Event::Tick => self.tick(now, &mut actions),
-            Event::Message(from, message) => self.take(now, from, message, &mut actions),
-            Event::Server(event) => self.hear_server(now, event, &mut actions),
-            Event::Read(asked, read) => self.learn_read(now, asked, read, &mut actions),
-            Event::Wrote(outcome) => self.learn_write(now, outcome, &mut actions),
+            Event::Message(from, message) => self.handle_message(now, from, message, &mut actions),
+            Event::Server(event) => self.handle_server_event(now, event, &mut actions),
+            Event::LeaderRead(begun, read) => {
+                self.handle_leader_read(now, begun, read, &mut actions)
+            }
+            Event::LeaderWritten(outcome) => self.handle_write(now, outcome, &mut actions),
             Event::Intent(intent) => self.set_intent(now, intent),
             Event::IntentRead(read) => {
-                let reliance = self.reliance(now);
-                self.intent_watch.ended(now, read, reliance);
+                let contact = self.leader_contact(now);
+                self.intent_poller.handle_read(now, read, contact);
             }
-            Event::Neighbour(address) => self.meet(now, address, &mut actions),
+            Event::IntentSource(peer) => self.fetch_missing_intent(now, peer, &mut actions),
             Event::Load(load, key_loads) => {
                 self.load = load;
                 self.key_loads = key_loads;
@@ -143,21 +149,21 @@
         if let Some(leader) = &mut self.leader {
             let epoch = leader.record().epoch;
             for (event, detail) in leader.take_notes() {
-                note(&mut actions, event, epoch, detail);
+                log_event(&mut actions, event, epoch, detail);
             }
         }
-        self.stand_down_if_over(now, &mut actions);
+        self.check_leadership(now, &mut actions);
         self.call_server(now, &mut actions);
-        let reliance = self.reliance(now);
-        let read = self.intent_watch.step(now, reliance);
+        let contact = self.leader_contact(now);
+        let read = self.intent_poller.poll(now, contact);
         actions.extend(read.map(|wait| Action::ReadIntent { wait }));
-        if now >= self.beat_due {
-            self.beat(now, &mut actions);
+        if now >= self.heartbeat_due {
+            self.send_heartbeat(now, &mut actions);
         }
-        self.deliver_own(now, actions)
+        self.deliver_to_self(now, actions)
     }
 
-    /// Returns what is known of all nodes.
+    /// Returns the tables of members and owners.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
@@ -167,14 +173,14 @@
         &self.intent
     }
 
-    /// Returns up to when the operators' intent holds all that was acknowledged.
+    /// Returns the moment up to which the known intent includes every acknowledged change.
     pub fn intent_confirmed(&self) -> Moment {
-        self.intent_watch.confirmed()
+        self.intent_poller.confirmed()
     }
 
-    /// Returns the newest heartbeat of the backend server, unless that is gone.
+    /// Returns the newest heartbeat of the backend server, unless the server is lost or has left.
     pub fn server(&self) -> Option<&ServerHeartbeat> {
-        let usable = !self.server_gone && !self.server.has_left();
+        let usable = !self.server_lost && !self.server.has_departed();
         let newest = self.server.newest();
         newest.filter(|newest| usable && newest.service == self.profile.service)
     }
@@ -189,59 +195,57 @@
         self.server.serving(now, self.lease.as_ref())
     }
 
-    /// Tells whether the backend server is granted its keys by call.
-    pub fn calls_server(&self) -> bool {
+    /// Tells whether keys are granted to the backend server by call.
+    pub fn grants_by_call(&self) -> bool {
         self.granting() == Granting::ByCall
     }
 
-    /// Returns when the backend server was heard last.
-    pub fn server_heard_at(&self) -> Option<Moment> {
-        self.server.heard_at()
+    /// Returns when the newest heartbeat of the backend server arrived.
+    pub fn server_heartbeat_at(&self) -> Option<Moment> {
+        self.server.heartbeat_at()
     }
 
-    /// Returns when the node speaks to its leader next; `step` is to be called then.
-    pub fn beat_due(&self) -> Moment {
-        self.beat_due
+    /// Returns when the next heartbeat to the leader is due; `step` is to be called then.
+    pub fn heartbeat_due(&self) -> Moment {
+        self.heartbeat_due
     }
 
-    /// Tells whether this node leads.
-    pub fn leads(&self) -> bool {
+    /// Tells whether this node is the leader.
+    pub fn is_leader(&self) -> bool {
         self.leader.is_some()
     }
 
-    /// Returns the epoch that the node follows.
+    /// Returns the epoch of the leader that the node follows.
     pub fn epoch(&self) -> Option<Epoch> {
-        self.following
-            .as_ref()
-            .map(|following| following.record.epoch)
+        self.followed.as_ref().map(|followed| followed.record.epoch)
     }
 
-    fn reliance(&self, now: Moment) -> Reliance {
+    fn leader_contact(&self, now: Moment) -> LeaderContact {
         match () {
-            () if self.leads() => Reliance::Leads,
-            () if self.hears_leader(now) => Reliance::Follows,
-            () => Reliance::Nobody,
+            () if self.is_leader() => LeaderContact::Leading,
+            () if self.is_leader_responsive(now) => LeaderContact::Following,
+            () => LeaderContact::Lost,
         }
     }
 
-    fn me(&self) -> &NodeName {
-        &self.profile.life.node
+    fn own_name(&self) -> &NodeName {
+        &self.profile.incarnation.node
     }
 
-    /// Gives the node's messages to itself at once: as a leader it is its own follower.
-    fn deliver_own(&mut self, now: Moment, actions: Vec<Action>) -> Vec<Action> {
-        let mut done = Vec::new();
-        let mut waiting = VecDeque::from(actions);
-        while let Some(action) = waiting.pop_front() {
+    /// Handles the messages that the node sends to itself, since a leader also follows itself.
+    fn deliver_to_self(&mut self, now: Moment, actions: Vec<Action>) -> Vec<Action> {
+        let mut remaining = Vec::new();
+        let mut queue = VecDeque::from(actions);
+        while let Some(action) = queue.pop_front() {
             match action {
                 Action::Send(to, message) if to == self.profile.control => {
                     let mut more = Vec::new();
-                    self.take(now, to, message, &mut more);
-                    waiting.extend(more);
+                    self.handle_message(now, to, message, &mut more);
+                    queue.extend(more);
                 }
-                action => done.push(action),
+                action => remaining.push(action),
             }
         }
-        done
+        remaining
     }
 }
--- a/crates/mesh/src/ownership/node_machine/node_profile.rs
+++ b/crates/mesh/src/ownership/node_machine/node_profile.rs
@@ -1,4 +1,4 @@
-//! What a node knows of itself.
+//! The fixed properties of a node.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,27 +7,27 @@
 use quetzalrack_core::ids::ZoneName;
 
 use crate::model::Granting;
-use crate::ownership::NodeLife;
+use crate::ownership::NodeIncarnation;
 
-/// Is what a node knows of itself at its start.
+/// What a node knows of itself at its start.
 #[derive(Clone, Debug)]
 pub struct NodeProfile {
     /// The node and its process.
-    pub life: NodeLife,
+    pub incarnation: NodeIncarnation,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where it takes datagrams.
+    /// Where it receives datagrams.
     pub control: SocketAddr,
-    /// Where it takes requests from other nodes.
+    /// Where it receives requests from other nodes.
     pub traffic: SocketAddr,
     /// The service of its backend server.
     pub service: ServiceName,
     /// How often its backend server sends a heartbeat.
     pub heartbeat: Duration,
-    /// How its backend server is granted keys where its service does not say.
+    /// How keys are granted to its backend server, unless the settings of its service say otherwise.
     pub granting: Granting,
-    /// Whether its host's link is too narrow to lead where others can.
-    pub narrow: bool,
-    /// Seeds what is chosen at random.
+    /// Whether its host's link is so narrow that other nodes are preferred as leader.
+    pub narrow_link: bool,
+    /// The seed of random choices.
     pub seed: u64,
 }
--- a/crates/mesh/src/traffic/balancing/load_balancer.rs
+++ b/crates/mesh/src/traffic/balancing/load_balancer.rs
@@ -140,7 +140,7 @@
     peer: Option<&PeerStats>,
 ) -> f64 {
     let reported = peer.and_then(|peer| peer.fresh(now));
-    let link = reported.map_or(entry.load.link(), |load| f64::from(load.link));
+    let link = reported.map_or(entry.load.link_backlog(), |load| f64::from(load.backlog_ms));
     let way = match entry.member.zone == *zone {
         true => 0.0,
         false => LARGE_ZONE_COST,
--- a/crates/mesh/src/traffic/balancing/peer_stats.rs
+++ b/crates/mesh/src/traffic/balancing/peer_stats.rs
@@ -4,7 +4,7 @@
 
 use quetzalrack_core::time::Moment;
 
-use crate::ownership::LoadSketch;
+use crate::ownership::LoadSummary;
 use crate::ownership::NodeLoad;
 
 /// How long a load that came with an answer is preferred to the leader's table.
@@ -67,14 +67,14 @@
     }
 
     /// Estimates how full the node's server is, as a share of its `slots`.
-    pub(super) fn fill(&self, now: Moment, table: LoadSketch, slots: u16) -> f64 {
+    pub(super) fn fill(&self, now: Moment, table: LoadSummary, slots: u16) -> f64 {
         let own = f64::from(self.outstanding) / f64::from(slots.max(1));
         let told = match self.fresh(now) {
             Some(load) => {
                 let since = self.since_report.max(0) as f64;
-                load.fill() + since / f64::from(load.limit.max(1))
+                load.utilization() + since / f64::from(load.limit.max(1))
             }
-            None => table.fill(),
+            None => table.utilization(),
         };
         told.max(own)
     }
--- a/crates/mesh/tests/choice.rs
+++ b/crates/mesh/tests/choice.rs
@@ -4,24 +4,24 @@
 use quetzalrack_core::ids::RouteName;
 use quetzalrack_core::time::Moment;
 use quetzalrack_mesh::model::ServerId;
-use quetzalrack_mesh::model::ServerLife;
+use quetzalrack_mesh::model::ServerIncarnation;
 use quetzalrack_mesh::ownership::Directory;
 use quetzalrack_mesh::ownership::DirectoryEntry;
 use quetzalrack_mesh::ownership::Member;
-use quetzalrack_mesh::ownership::NodeLife;
+use quetzalrack_mesh::ownership::NodeIncarnation;
 use quetzalrack_mesh::ownership::NodeLoad;
-use quetzalrack_mesh::ownership::ServerCard;
+use quetzalrack_mesh::ownership::ServerInfo;
 use quetzalrack_mesh::traffic::balancing::LoadBalancer;
 
 const NOW: Moment = Moment(1_000_000_000);
 
 fn load(busy: u16, link: u16) -> NodeLoad {
     NodeLoad {
-        busy,
+        requests: busy,
         limit: 10,
-        slowness: 100,
-        pace: 100,
-        link,
+        slowdown_percent: 100,
+        request_ms: 100,
+        backlog_ms: link,
     }
 }
 
@@ -29,28 +29,28 @@
     let mut directory = Directory::default();
     for (place, busy) in loads.iter().enumerate() {
         let name = format!("node-{place}");
-        let card = ServerCard {
-            life: ServerLife {
+        let card = ServerInfo {
+            incarnation: ServerIncarnation {
                 id: ServerId(format!("server-{place}").as_str().into()),
-                born: 1,
+                started_ms: 1,
             },
             slots: 10,
             draining: false,
             cold: false,
-            settled: true,
+            holding_known: true,
             silent: false,
         };
         let member = Member {
-            life: NodeLife {
+            incarnation: NodeIncarnation {
                 node: name.parse().unwrap(),
-                life: 1,
+                nonce: 1,
             },
             zone: format!("zone-{place}").parse().unwrap(),
             control: "127.0.0.1:1".parse().unwrap(),
             traffic: "127.0.0.1:1".parse().unwrap(),
             service: "orders".parse().unwrap(),
             server: Some(card),
-            narrow: false,
+            narrow_link: false,
             leaving: false,
         };
         let entry = DirectoryEntry {
--- a/crates/mesh/tests/intent_reads.rs
+++ b/crates/mesh/tests/intent_reads.rs
@@ -30,7 +30,7 @@
             let lost = begun < silent.end && now >= silent.start;
             if !lost && now >= begun + wait + 5 {
                 answered.push(begun);
-                event = Event::IntentRead(IntentRead::NoNews { begun: at(begun) });
+                event = Event::IntentRead(IntentRead::Unchanged { begun: at(begun) });
                 reading = None;
             } else if wait == 0 && now >= begun + PATIENCE {
                 event = Event::IntentRead(IntentRead::Failed);
--- a/crates/mesh/tests/key_counter.rs
+++ b/crates/mesh/tests/key_counter.rs
@@ -41,13 +41,13 @@
     let before: u32 = counter
         .loads(Moment::default(), &held)
         .iter()
-        .map(|load| load.busy)
+        .map(|load| load.milli_slots)
         .sum();
     let later = Moment(10_000_000_000);
     let after: u32 = counter
         .loads(later, &held)
         .iter()
-        .map(|load| load.busy)
+        .map(|load| load.milli_slots)
         .sum();
     assert!(after * 100 < before, "{before} {after}");
 }
--- a/crates/mesh/tests/lone_node/mod.rs
+++ b/crates/mesh/tests/lone_node/mod.rs
@@ -6,10 +6,10 @@
 use quetzalrack_core::time::Moment;
 use quetzalrack_mesh::model::Granting;
 use quetzalrack_mesh::model::ServerHeartbeat;
-use quetzalrack_mesh::model::ServerLife;
+use quetzalrack_mesh::model::ServerIncarnation;
 use quetzalrack_mesh::ownership::Event;
 use quetzalrack_mesh::ownership::LeaseTimes;
-use quetzalrack_mesh::ownership::NodeLife;
+use quetzalrack_mesh::ownership::NodeIncarnation;
 use quetzalrack_mesh::ownership::NodeMachine;
 use quetzalrack_mesh::ownership::NodeProfile;
 use quetzalrack_mesh::ownership::ServerEvent;
@@ -19,24 +19,24 @@
     Moment((1_000 + ms) * 1_000_000)
 }
 
-pub fn life(node: &str) -> NodeLife {
-    NodeLife {
+pub fn life(node: &str) -> NodeIncarnation {
+    NodeIncarnation {
         node: node.parse().unwrap(),
-        life: 1,
+        nonce: 1,
     }
 }
 
 /// Starts a node whose settings name a way of granting.
 pub fn node(granting: Granting) -> NodeMachine {
     let profile = NodeProfile {
-        life: life("node-1"),
+        incarnation: life("node-1"),
         zone: "zone".parse().unwrap(),
         control: "127.0.0.1:7620".parse().unwrap(),
         traffic: "127.0.0.1:7621".parse().unwrap(),
         service: "service".parse().unwrap(),
         heartbeat: Duration::from_millis(870),
         granting,
-        narrow: false,
+        narrow_link: false,
         seed: 1,
     };
     NodeMachine::new(at(0), profile, LeaseTimes::default())
@@ -45,9 +45,9 @@
 /// Is a heartbeat of the server beside the node.
 pub fn heartbeat(sequence: u64) -> Event {
     Event::Server(ServerEvent::Heartbeat(ServerHeartbeat {
-        life: ServerLife {
+        incarnation: ServerIncarnation {
             id: "server-1".parse().unwrap(),
-            born: 1,
+            started_ms: 1,
         },
         service: "service".parse().unwrap(),
         address: "127.0.0.1:8301".parse().unwrap(),
@@ -56,6 +56,6 @@
         cold: Duration::ZERO,
         sequence,
         holds: Vec::new(),
-        freed: Vec::new(),
+        released: Vec::new(),
     }))
 }
--- a/crates/mesh/tests/ownership_support/fake_server.rs
+++ b/crates/mesh/tests/ownership_support/fake_server.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use quetzalrack_core::time::Moment;
-use quetzalrack_mesh::model::FreedRange;
 use quetzalrack_mesh::model::Handover;
 use quetzalrack_mesh::model::HeldRange;
 use quetzalrack_mesh::model::KeyRange;
+use quetzalrack_mesh::model::ReleasedRange;
 use quetzalrack_mesh::model::Renewal;
 use quetzalrack_mesh::model::ServerHeartbeat;
 use quetzalrack_mesh::model::ServerId;
-use quetzalrack_mesh::model::ServerLife;
+use quetzalrack_mesh::model::ServerIncarnation;
 use quetzalrack_mesh::ownership::HeartbeatAnswer;
 
 /// How much slower the server's clock runs than ours.
@@ -31,13 +31,13 @@
 /// Is one life of a server.
 #[derive(Clone, Debug)]
 pub struct FakeServer {
-    pub life: ServerLife,
+    pub life: ServerIncarnation,
     pub service: &'static str,
     pub holdings: Vec<Holding>,
     pub draining: bool,
     /// What it was granted by call; it refuses lower tokens.
     seen: Vec<HeldRange>,
-    freed: Vec<FreedRange>,
+    freed: Vec<ReleasedRange>,
     sequence: u64,
     sent: Vec<(u64, Moment, usize)>,
 }
@@ -45,9 +45,9 @@
 impl FakeServer {
     pub fn new(name: &str, born: u64, service: &'static str) -> Self {
         Self {
-            life: ServerLife {
+            life: ServerIncarnation {
                 id: ServerId(name.into()),
-                born,
+                started_ms: born,
             },
             service,
             holdings: Vec::new(),
@@ -65,7 +65,7 @@
         self.holdings.retain(|holding| {
             let released = holding.released.is_some_and(|at| now >= at);
             if released {
-                freed.push(FreedRange {
+                freed.push(ReleasedRange {
                     keys: holding.held.keys,
                     handover: Handover("word".into()),
                 });
@@ -80,7 +80,7 @@
         self.sequence += 1;
         self.sent.push((self.sequence, now, self.freed.len()));
         ServerHeartbeat {
-            life: self.life.clone(),
+            incarnation: self.life.clone(),
             service: self.service.parse().unwrap(),
             address: "127.0.0.1:1".parse().unwrap(),
             slots: 10,
@@ -88,7 +88,7 @@
             cold: Duration::ZERO,
             sequence: self.sequence,
             holds: self.holdings.iter().map(|holding| holding.held).collect(),
-            freed: self.freed.clone(),
+            released: self.freed.clone(),
         }
     }
 
--- a/crates/mesh/tests/ownership_support/fleet/calls.rs
+++ b/crates/mesh/tests/ownership_support/fleet/calls.rs
@@ -120,7 +120,7 @@
                     },
                     Duration::ZERO,
                 ),
-                false => (KeyCallOutcome::Outbid, Duration::ZERO),
+                false => (KeyCallOutcome::StaleToken, Duration::ZERO),
             },
             None => (
                 KeyCallOutcome::Released(server.release(now, arrived.held, work)),
--- a/crates/mesh/tests/ownership_support/fleet/mod.rs
+++ b/crates/mesh/tests/ownership_support/fleet/mod.rs
@@ -27,7 +27,7 @@
 use quetzalrack_mesh::ownership::LeaderRead;
 use quetzalrack_mesh::ownership::LeaderRecord;
 use quetzalrack_mesh::ownership::LeaseTimes;
-use quetzalrack_mesh::ownership::NodeLife;
+use quetzalrack_mesh::ownership::NodeIncarnation;
 use quetzalrack_mesh::ownership::NodeMachine;
 use quetzalrack_mesh::ownership::NodeProfile;
 use quetzalrack_mesh::ownership::PeerMessage;
@@ -349,11 +349,11 @@
             Happening::StoreWrite(place, life, end, record) => self.write(place, life, end, record),
             Happening::ReadDone(place, life, asked, read) => {
                 let again = Happening::ReadDone(place, life, asked, read.clone());
-                self.step(place, life, Event::Read(asked, read), again);
+                self.step(place, life, Event::LeaderRead(asked, read), again);
             }
             Happening::WriteDone(place, life, outcome) => {
                 let again = Happening::WriteDone(place, life, outcome);
-                self.step(place, life, Event::Wrote(outcome), again);
+                self.step(place, life, Event::LeaderWritten(outcome), again);
             }
             Happening::Trouble => self.trouble(),
             Happening::Heal(cure) => self.heal(cure),
@@ -361,7 +361,7 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        let leads = |host: &Host| host.machine.as_ref().is_some_and(NodeMachine::leads);
+        let leads = |host: &Host| host.machine.as_ref().is_some_and(NodeMachine::is_leader);
         self.nodes.iter().position(leads)
     }
 
@@ -407,9 +407,9 @@
         host.life += 1;
         let life = host.life;
         let profile = NodeProfile {
-            life: NodeLife {
+            incarnation: NodeIncarnation {
                 node: host.name.clone(),
-                life,
+                nonce: life,
             },
             zone: format!("zone-{}", place % 4).parse().unwrap(),
             control: address(place),
@@ -417,7 +417,7 @@
             service: service(place).parse().unwrap(),
             heartbeat: HEARTBEAT,
             granting: self.plan.granting,
-            narrow: place % 3 == 2,
+            narrow_link: place % 3 == 2,
             seed: self.random.random(),
         };
         let mut machine = NodeMachine::new(
@@ -451,7 +451,7 @@
         let Some(server) = self.nodes[place]
             .server
             .as_mut()
-            .filter(|server| server.life.born == born)
+            .filter(|server| server.life.started_ms == born)
         else {
             return;
         };
@@ -480,7 +480,7 @@
         let Some(server) = self.nodes[place]
             .server
             .as_mut()
-            .filter(|server| server.life.born == born)
+            .filter(|server| server.life.started_ms == born)
         else {
             return;
         };
@@ -510,7 +510,7 @@
         }
         let heard = match &event {
             Event::Server(ServerEvent::Heartbeat(heartbeat)) => {
-                Some((heartbeat.life.born, heartbeat.sequence))
+                Some((heartbeat.incarnation.started_ms, heartbeat.sequence))
             }
             _ => None,
         };
@@ -518,7 +518,7 @@
             return false;
         };
         let actions = machine.step(self.now, event);
-        let due = machine.beat_due().since(self.now);
+        let due = machine.heartbeat_due().since(self.now);
         for action in actions {
             self.act(place, life, heard, action);
         }
@@ -542,11 +542,11 @@
                 let delay = self.spread(20);
                 self.after(delay, Happening::StoreRead(place, life, self.now));
             }
-            Action::WriteLeader { end, record } => {
+            Action::WriteLeader { topic_end, record } => {
                 let delay = self.spread(20);
-                self.after(delay, Happening::StoreWrite(place, life, end, record));
+                self.after(delay, Happening::StoreWrite(place, life, topic_end, record));
             }
-            Action::Answer(answer) => {
+            Action::AnswerHeartbeat(answer) => {
                 let delay = self.spread(5);
                 if let Some((born, sequence)) = heard {
                     self.after(delay, Happening::Answered(place, born, sequence, answer));
@@ -559,7 +559,7 @@
             Action::Publish
             | Action::FetchIntent(_)
             | Action::ReadIntent { .. }
-            | Action::Note(_) => {}
+            | Action::Log(_) => {}
         }
     }
 
--- a/crates/mesh/tests/ownership_support/tracing.rs
+++ b/crates/mesh/tests/ownership_support/tracing.rs
@@ -14,24 +14,24 @@
 
 pub fn line(action: &Action) -> String {
     match action {
-        Action::Send(to, PeerMessage::Beat(beat)) => format!(
+        Action::Send(to, PeerMessage::Heartbeat(beat)) => format!(
             "beat {} to {to} epoch {} order {:?} left {} known {} settled {:?} holding {}",
             beat.sequence,
             beat.epoch,
-            beat.order,
-            beat.left,
-            beat.known,
+            beat.applied_reply,
+            beat.lease_left,
+            beat.holding_complete,
             beat.member
                 .server
                 .as_ref()
-                .map(|server| (server.settled, server.silent)),
+                .map(|server| (server.holding_known, server.silent)),
             ranges(&beat.holding)
         ),
-        Action::Send(to, PeerMessage::Order(order)) => format!(
+        Action::Send(to, PeerMessage::LeaderReply(order)) => format!(
             "order {} to {to} epoch {} stamp {} lease {} {:?}",
             order.sequence,
             order.epoch,
-            order.stamp,
+            order.sent_at,
             order.lease,
             order.assignment.as_ref().map(|assignment| {
                 let held: Vec<HeldRange> =
@@ -39,7 +39,7 @@
                 ranges(&held)
             })
         ),
-        Action::Answer(HeartbeatAnswer::Renewed(renewal)) => {
+        Action::AnswerHeartbeat(HeartbeatAnswer::Renewed(renewal)) => {
             let held: Vec<HeldRange> = renewal.ranges.iter().map(|range| range.held).collect();
             format!("renews for {:?} {}", renewal.time, ranges(&held))
         }
--- a/crates/mesh/tests/prompts.rs
+++ b/crates/mesh/tests/prompts.rs
@@ -23,7 +23,7 @@
 
 fn beats(node: &mut NodeMachine, ms: u64, event: Event) -> usize {
     let actions = node.step(at(ms), event);
-    let beat = |action: &&Action| matches!(action, Action::Send(_, PeerMessage::Beat(_)));
+    let beat = |action: &&Action| matches!(action, Action::Send(_, PeerMessage::Heartbeat(_)));
     actions.iter().filter(beat).count()
 }
 
@@ -34,10 +34,13 @@
         leader: life("node-2"),
         control: LEADER.parse().unwrap(),
         voters: Vec::new(),
-        complete: true,
-        alone: true,
+        takeover_complete: true,
+        store_suffices: true,
     };
-    node.step(at(0), message(PeerMessage::Lead(Box::new(record))));
+    node.step(
+        at(0),
+        message(PeerMessage::LeaderAnnouncement(Box::new(record))),
+    );
     node
 }
 
@@ -45,7 +48,7 @@
 #[test]
 fn at_once() {
     let mut node = following();
-    let prompt = || message(PeerMessage::Prompt { epoch: Epoch(256) });
+    let prompt = || message(PeerMessage::HeartbeatRequest { epoch: Epoch(256) });
     assert_eq!(beats(&mut node, 50, Event::Tick), 0);
     assert_eq!(beats(&mut node, 60, prompt()), 1);
     // A burst of grants shares the next one.
@@ -58,6 +61,6 @@
 #[test]
 fn other_epoch() {
     let mut node = following();
-    let prompt = message(PeerMessage::Prompt { epoch: Epoch(255) });
+    let prompt = message(PeerMessage::HeartbeatRequest { epoch: Epoch(255) });
     assert_eq!(beats(&mut node, 60, prompt), 0);
 }
--- a/crates/mesh/tests/server_leaves.rs
+++ b/crates/mesh/tests/server_leaves.rs
@@ -12,7 +12,7 @@
 use lone_node::node;
 
 fn leaves() -> Event {
-    Event::Server(ServerEvent::Leaves("server-1".parse().unwrap()))
+    Event::Server(ServerEvent::Leaving("server-1".parse().unwrap()))
 }
 
 /// Guards against new work for a server that has left, when its last heartbeat comes seconds late to a
--- a/crates/mesh/tests/unknown_document.rs
+++ b/crates/mesh/tests/unknown_document.rs
@@ -9,10 +9,10 @@
 use quetzalrack_mesh::model::OperatorsIntent;
 use quetzalrack_mesh::model::RoutingConfig;
 use quetzalrack_mesh::ownership::Action;
-use quetzalrack_mesh::ownership::Beat;
 use quetzalrack_mesh::ownership::Epoch;
 use quetzalrack_mesh::ownership::Event;
 use quetzalrack_mesh::ownership::LeaderRecord;
+use quetzalrack_mesh::ownership::NodeHeartbeat;
 use quetzalrack_mesh::ownership::PeerMessage;
 
 use lone_node::at;
@@ -26,11 +26,11 @@
         leader: life("node-2"),
         control: "127.0.0.2:7620".parse().unwrap(),
         voters: Vec::new(),
-        complete: true,
-        alone: true,
+        takeover_complete: true,
+        store_suffices: true,
     };
     let from = record.control;
-    Event::Message(from, PeerMessage::Lead(Box::new(record)))
+    Event::Message(from, PeerMessage::LeaderAnnouncement(Box::new(record)))
 }
 
 fn document() -> Event {
@@ -43,7 +43,7 @@
 
 /// Returns the newest beat of a node whose server was heard often enough by heartbeat, a second after the
 /// node's start.
-fn beat(granting: Granting, known: bool) -> Beat {
+fn beat(granting: Granting, known: bool) -> NodeHeartbeat {
     let mut node = node(granting);
     let mut events = vec![(0, leader())];
     if known {
@@ -54,7 +54,7 @@
     let mut newest = None;
     for (ms, event) in events {
         for action in node.step(at(ms), event) {
-            if let Action::Send(_, PeerMessage::Beat(beat)) = action {
+            if let Action::Send(_, PeerMessage::Heartbeat(beat)) = action {
                 newest = Some(*beat);
             }
         }
@@ -66,7 +66,7 @@
 /// that its server holds nothing, while calls of its earlier process are still obeyed.
 #[test]
 fn way_of_granting() {
-    assert!(beat(Granting::ByHeartbeat, true).known);
-    assert!(!beat(Granting::ByHeartbeat, false).known);
-    assert!(!beat(Granting::ByCall, false).known);
+    assert!(beat(Granting::ByHeartbeat, true).holding_complete);
+    assert!(!beat(Granting::ByHeartbeat, false).holding_complete);
+    assert!(!beat(Granting::ByCall, false).holding_complete);
 }
--- a/crates/rack/src/control/intent_reader.rs
+++ b/crates/rack/src/control/intent_reader.rs
@@ -46,11 +46,11 @@
         self.note(reached, from, clock::now().since(begun));
         let ended = match outcome {
             ReadOutcome::Records { records, .. } if known && records.is_empty() => {
-                IntentRead::NoNews { begun }
+                IntentRead::Unchanged { begun }
             }
             ReadOutcome::Records { records, next, .. } if known => {
                 self.apply(records, next);
-                IntentRead::News { begun }
+                IntentRead::Changed { begun }
             }
             ReadOutcome::Records { records, end, .. } => self.replace(begun, records, end),
             // The records after ours are gone; the newest of each key are not.
@@ -97,7 +97,7 @@
         }
         intent.offset = end;
         self.publish(intent);
-        IntentRead::News { begun }
+        IntentRead::Changed { begun }
     }
 
     fn change(&self, intent: &mut OperatorsIntent, records: Vec<KeyedRecord>) {
--- a/crates/rack/src/control/key_calls.rs
+++ b/crates/rack/src/control/key_calls.rs
@@ -73,13 +73,17 @@
         let KeyCall {
             id,
             address,
-            heard,
+            heartbeat_at,
             request,
         } = call;
         let (name, held, outcome) = match request {
             KeyRequest::Grant { range, end } => {
                 let held = range.held;
-                ("grant", held, self.grant(address, heard, range, end).await)
+                (
+                    "grant",
+                    held,
+                    self.grant(address, heartbeat_at, range, end).await,
+                )
             }
             KeyRequest::Release(held) => ("release", held, self.release(address, held).await),
         };
@@ -111,7 +115,7 @@
     async fn grant(
         &self,
         address: SocketAddr,
-        heard: Moment,
+        heartbeat_at: Moment,
         range: GrantedRange,
         end: Moment,
     ) -> KeyCallOutcome {
@@ -124,7 +128,7 @@
             sent.set(Some((now, time)));
             Some(addressed(grant_request(&range, time), address))
         };
-        let exchange = self.pool.exchange_late(address, Some(heard), make);
+        let exchange = self.pool.exchange_late(address, Some(heartbeat_at), make);
         // Dropped at its limit, the call's connection is closed.
         let ended = tokio::time::timeout(self.times.call_timeout, exchange).await;
         let Some((sent, time)) = sent.get() else {
@@ -137,7 +141,7 @@
                 answered: now,
                 time,
             },
-            Some(StatusCode::CONFLICT) => KeyCallOutcome::Outbid,
+            Some(StatusCode::CONFLICT) => KeyCallOutcome::StaleToken,
             Some(status) if status.is_client_error() => KeyCallOutcome::Rejected,
             // What fails otherwise may still be obeyed.
             Some(_) | None => KeyCallOutcome::Unanswered { closed: now, time },
@@ -180,7 +184,7 @@
 fn ended(outcome: &KeyCallOutcome) -> &'static str {
     match outcome {
         KeyCallOutcome::Granted { .. } => "granted",
-        KeyCallOutcome::Outbid => "outbid",
+        KeyCallOutcome::StaleToken => "outbid",
         KeyCallOutcome::Released(_) => "released",
         KeyCallOutcome::Rejected => "rejected",
         KeyCallOutcome::Unanswered { .. } => "unanswered",
--- a/crates/rack/src/control/running.rs
+++ b/crates/rack/src/control/running.rs
@@ -68,7 +68,7 @@
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let socket = Rc::clone(&self.socket);
         loop {
-            let due = self.machine.beat_due().since(clock::now());
+            let due = self.machine.heartbeat_due().since(clock::now());
             tokio::select! {
                 received = socket.recv_from(&mut buffer) => {
                     if let Ok((length, from)) = received {
@@ -98,7 +98,7 @@
     }
 
     fn hear(&mut self, word: ServerEvent, answer: oneshot::Sender<HeartbeatAnswer>) {
-        if let ServerEvent::Leaves(id) = &word {
+        if let ServerEvent::Leaving(id) = &word {
             log::info!(event = "server_leaves", server:% = id; "");
         }
         self.gone_told = false;
@@ -110,7 +110,7 @@
 
     /// Opens connections for calls about keys, if the server is called.
     pub(super) fn warm(&self, server: SocketAddr) {
-        if self.machine.calls_server() {
+        if self.machine.grants_by_call() {
             tokio::task::spawn_local(self.calls.clone().warm(server));
         }
     }
@@ -121,16 +121,16 @@
         if report.server_gone && !self.gone_told && self.server_is_silent() {
             self.gone_told = true;
             log::warn!(event = "server_gone", why = "its port refuses connections"; "");
-            self.step(Event::Server(ServerEvent::Gone), None);
+            self.step(Event::Server(ServerEvent::Unreachable), None);
         }
         if let Some(neighbour) = self.board.take_neighbour() {
-            self.step(Event::Neighbour(neighbour), None);
+            self.step(Event::IntentSource(neighbour), None);
         }
         self.step(Event::Tick, None);
     }
 
     fn server_is_silent(&self) -> bool {
-        let heard = self.machine.server_heard_at();
+        let heard = self.machine.server_heartbeat_at();
         heard.is_some_and(|at| clock::now().since(at) >= self.heartbeat.mul_f64(GONE_BEATS))
     }
 
@@ -144,10 +144,10 @@
                 Action::ReadLeader => {
                     tokio::task::spawn_local(self.store.clone().read());
                 }
-                Action::WriteLeader { end, record } => {
-                    tokio::task::spawn_local(self.store.clone().write(end, record));
+                Action::WriteLeader { topic_end, record } => {
+                    tokio::task::spawn_local(self.store.clone().write(topic_end, record));
                 }
-                Action::Answer(said) => {
+                Action::AnswerHeartbeat(said) => {
                     // The view goes first: a server that holds keys is sent their requests, and
                     // one that is told to release them is not.
                     self.publish(now);
@@ -171,7 +171,7 @@
                 Action::FetchIntent(from) => {
                     tokio::task::spawn_local(self.peers.clone().fetch(from));
                 }
-                Action::Note(note) => log::info!(
+                Action::Log(note) => log::info!(
                     event = note.event, epoch = note.epoch.0, detail = note.detail,
                     intent = self.machine.intent().offset; ""
                 ),
@@ -201,11 +201,11 @@
         self.view.confirmed = self.machine.intent_confirmed();
         self.view.directory = Arc::new(self.machine.directory().clone());
         self.view.server = self.machine.server().map(|server| ServerView {
-            life: server.life.clone(),
+            life: server.incarnation.clone(),
             address: server.address,
             slots: server.slots as usize,
             draining: server.draining,
-            heard_at: self.machine.server_heard_at().unwrap_or_default(),
+            heard_at: self.machine.server_heartbeat_at().unwrap_or_default(),
             cold_until: self.machine.cold_until(),
             serving: self.machine.serving(now),
         });
--- a/crates/rack/src/control/server_port.rs
+++ b/crates/rack/src/control/server_port.rs
@@ -39,7 +39,7 @@
             return status(StatusCode::NOT_FOUND);
         };
         let word = match call {
-            ServerCall::Leave(id) => ServerEvent::Leaves(id),
+            ServerCall::Leave(id) => ServerEvent::Leaving(id),
             ServerCall::Heartbeat(id) => {
                 let Ok(body) = request.into_body().collect().await else {
                     return status(StatusCode::BAD_REQUEST);
@@ -64,7 +64,7 @@
                 self.metrics.heartbeat("renewed");
                 write_answer(Some(&renewal))
             }
-            Ok(HeartbeatAnswer::Heard) => {
+            Ok(HeartbeatAnswer::Acknowledged) => {
                 self.metrics.heartbeat("heard");
                 write_answer(None)
             }
--- a/crates/rack/src/control/store_calls.rs
+++ b/crates/rack/src/control/store_calls.rs
@@ -40,7 +40,7 @@
                 LeaderRead::Unavailable
             }
         };
-        self.report(Event::Read(asked, read));
+        self.report(Event::LeaderRead(asked, read));
     }
 
     /// Appends a leader record.
@@ -63,7 +63,7 @@
             AppendOutcome::Unknown => "unknown",
         };
         self.metrics.store_call("append", ended);
-        self.report(Event::Wrote(outcome));
+        self.report(Event::LeaderWritten(outcome));
     }
 
     fn decode(&self, records: &[KeyedRecord], end: u64) -> LeaderRead {
--- a/crates/rack/src/node/running_node.rs
+++ b/crates/rack/src/node/running_node.rs
@@ -8,7 +8,7 @@
 
 use quetzalrack_mesh::model::HostSettings;
 use quetzalrack_mesh::model::LinkRate;
-use quetzalrack_mesh::ownership::NodeLife;
+use quetzalrack_mesh::ownership::NodeIncarnation;
 use quetzalrack_mesh::ownership::NodeProfile;
 use quetzalrack_platform::store::MetadataStore;
 use tokio::sync::mpsc;
@@ -43,9 +43,9 @@
         let page = Arc::new(Metrics::default());
         let (shutdown, told) = mpsc::unbounded_channel();
         let profile = NodeProfile {
-            life: NodeLife {
+            incarnation: NodeIncarnation {
                 node: host.node.clone(),
-                life: seed,
+                nonce: seed,
             },
             zone: host.zone.clone(),
             control: advertised,
@@ -53,7 +53,7 @@
             service: host.service.clone(),
             heartbeat: host.heartbeat,
             granting: host.granting,
-            narrow: host.link.is_some_and(LinkRate::is_narrow),
+            narrow_link: host.link.is_some_and(LinkRate::is_narrow),
             seed,
         };
         let settings = ControlSettings {
--- a/crates/rack/src/shared/server_view.rs
+++ b/crates/rack/src/shared/server_view.rs
@@ -4,13 +4,13 @@
 
 use quetzalrack_core::time::Moment;
 use quetzalrack_mesh::model::HeldRange;
-use quetzalrack_mesh::model::ServerLife;
+use quetzalrack_mesh::model::ServerIncarnation;
 
 /// Describes the backend server beside the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerView {
     /// Which life of which server.
-    pub life: ServerLife,
+    pub life: ServerIncarnation,
     /// Where it listens.
     pub address: SocketAddr,
     /// How many requests it works on at once.
--- a/crates/rack/src/traffic/egress/egress_node.rs
+++ b/crates/rack/src/traffic/egress/egress_node.rs
@@ -11,7 +11,7 @@
 use quetzalrack_core::time::Moment;
 use quetzalrack_mesh::model::KeyRange;
 use quetzalrack_mesh::model::LinkRate;
-use quetzalrack_mesh::model::ServerLife;
+use quetzalrack_mesh::model::ServerIncarnation;
 use quetzalrack_mesh::model::TimeBounds;
 use quetzalrack_mesh::ownership::NodeLoad;
 use quetzalrack_mesh::traffic::KeyCounter;
@@ -57,7 +57,7 @@
     /// When the last line about requests to a cold server was written.
     pub(super) cold_line: Cell<Moment>,
     evacuated: Cell<bool>,
-    life: RefCell<Option<ServerLife>>,
+    life: RefCell<Option<ServerIncarnation>>,
     running: OpenCount,
     closed: Cell<bool>,
 }
@@ -263,11 +263,12 @@
         let view = self.board.view();
         let slots = view.server.as_ref().map_or(0, |server| server.slots);
         NodeLoad {
-            busy: u16::try_from(running + waiting).unwrap_or(u16::MAX),
+            requests: u16::try_from(running + waiting).unwrap_or(u16::MAX),
             limit: u16::try_from(slots).unwrap_or(u16::MAX),
-            slowness: self.slowness.get(),
-            pace: u16::try_from(self.turns.pace().as_millis()).unwrap_or(u16::MAX),
-            link: u16::try_from(self.turns.link_time(clock::now()).as_millis()).unwrap_or(u16::MAX),
+            slowdown_percent: self.slowness.get(),
+            request_ms: u16::try_from(self.turns.pace().as_millis()).unwrap_or(u16::MAX),
+            backlog_ms: u16::try_from(self.turns.link_time(clock::now()).as_millis())
+                .unwrap_or(u16::MAX),
         }
     }
 }
--- a/crates/rack/src/traffic/hop/hop_answer.rs
+++ b/crates/rack/src/traffic/hop/hop_answer.rs
@@ -32,7 +32,7 @@
     };
     let text = format!(
         "{word} {} {} {} {} {}{detail}",
-        load.busy, load.limit, load.slowness, load.pace, load.link
+        load.requests, load.limit, load.slowdown_percent, load.request_ms, load.backlog_ms
     );
     let mut response = response.map(Full::new);
     // The words are all plain ASCII.
@@ -55,11 +55,11 @@
     let kind = words.next()?.to_owned();
     let mut number = || words.next()?.parse().ok();
     let load = NodeLoad {
-        busy: number()?,
+        requests: number()?,
         limit: number()?,
-        slowness: number()?,
-        pace: number()?,
-        link: number()?,
+        slowdown_percent: number()?,
+        request_ms: number()?,
+        backlog_ms: number()?,
     };
     let mut owner = None;
     let outcome = match kind.as_str() {
