--- a/crates/mesh/src/ownership/node_machine/leader_change.rs
+++ b/crates/mesh/src/ownership/node_machine/leader_change.rs
@@ -33,8 +33,8 @@
             return;
         }
         self.query_voters(now, actions);
-        let roll = self.random.random();
-        match self.search.step(now, &self.profile, &self.times, roll) {
+        let jitter = self.random.random();
+        match self.search.step(now, &self.profile, &self.times, jitter) {
             SearchAction::Wait => {}
             SearchAction::Read => actions.push(Action::ReadLeader),
             SearchAction::Claim {
--- a/crates/mesh/src/ownership/node_machine/mod.rs
+++ b/crates/mesh/src/ownership/node_machine/mod.rs
@@ -43,7 +43,7 @@
 use intent_poller::LeaderContact;
 use log_entry::log_event;
 
-/// Decides for one node whom it follows, whether it leads, and what its backend server may hold.
+/// Decides for one node which leader it follows, whether it leads, and what its backend server may hold.
 #[derive(Clone, Debug)]
 pub struct NodeMachine {
     profile: NodeProfile,
@@ -83,7 +83,7 @@
     outstanding: VecDeque<(u64, Moment)>,
     /// The sequence numbers and send times of the newest heartbeats, with or without a reply.
     sent: VecDeque<(u64, Moment)>,
-    /// What the newest heartbeat to the leader said of the server.
+    /// The state of the server that the newest heartbeat to the leader reported.
     reported: Option<(Option<ServerInfo>, Vec<HeldRange>)>,
 }
 
--- a/crates/mesh/src/ownership/node_machine/peer_messages.rs
+++ b/crates/mesh/src/ownership/node_machine/peer_messages.rs
@@ -27,7 +27,7 @@
 /// serves a whole burst.
 const REQUESTED_PAUSE: Duration = Duration::from_millis(10);
 
-/// How many sent heartbeats are remembered, and how many of them without a reply.
+/// How many of the newest heartbeats are remembered, and how many of those that got no reply yet.
 const MAX_SENT_HEARTBEATS: usize = 16;
 
 /// The shortest time between two fetches of the operators' intent from peers.
@@ -112,12 +112,7 @@
         self.heartbeat_due = self.heartbeat_due.min(earliest);
     }
 
-    pub(super) fn apply_reply(
-        &mut self,
-        now: Moment,
-        reply: &LeaderReply,
-        actions: &mut Vec<Action>,
-    ) {
+    fn apply_reply(&mut self, now: Moment, reply: &LeaderReply, actions: &mut Vec<Action>) {
         let Some(followed) = &mut self.followed else {
             return;
         };
@@ -209,14 +204,14 @@
             return;
         }
         let (epoch, applied_reply) = (followed.record.epoch, followed.reply_sent);
-        let control = followed.record.control;
+        let to = followed.record.control;
         let (server, holding) = (self.server_info(now), self.server.holding(now));
         self.sequence += 1;
         let age = now.since(self.started);
         let lease = self.lease.as_ref();
         let lease_left = lease.map_or(Duration::ZERO, |lease| lease.until.since(now));
         let granting = self.granting();
-        let heartbeat = NodeHeartbeat {
+        let message = NodeHeartbeat {
             epoch,
             member: self.member(server.clone()),
             sequence: self.sequence,
@@ -249,10 +244,7 @@
             }
             kept.push_back((self.sequence, now));
         }
-        actions.push(Action::Send(
-            control,
-            PeerMessage::Heartbeat(Box::new(heartbeat)),
-        ));
+        actions.push(Action::Send(to, PeerMessage::Heartbeat(Box::new(message))));
     }
 
     /// Tells whether this process knows everything that its server may hold.
--- a/crates/mesh/src/ownership/server_grants/server_tracker.rs
+++ b/crates/mesh/src/ownership/server_grants/server_tracker.rs
@@ -38,7 +38,6 @@
 #[derive(Clone, Debug, Default)]
 pub(in crate::ownership) struct ServerTracker {
     pub(super) current: Option<CurrentServer>,
-    /// Incarnations that left.
     departed: Vec<ServerIncarnation>,
     /// Servers that left before this process received any of their heartbeats, and when.
     departed_unseen: Vec<(ServerId, Moment)>,
@@ -49,9 +48,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct CurrentServer {
     pub(super) newest: ServerHeartbeat,
-    /// The number of heartbeats received.
     heartbeats: u32,
-    /// When the newest heartbeat arrived.
     pub(super) heartbeat_at: Moment,
     cold_until: Moment,
     grants: Vec<HeartbeatGrant>,
@@ -107,11 +104,7 @@
 
     /// Records that the server leaves. Later heartbeats of this incarnation have no effect.
     pub(in crate::ownership) fn record_departure(&mut self, now: Moment, id: &ServerId) {
-        match self
-            .incarnation()
-            .filter(|incarnation| incarnation.id == *id)
-            .cloned()
-        {
+        match self.incarnation().filter(|own| own.id == *id).cloned() {
             Some(incarnation) => push_bounded(&mut self.departed, incarnation),
             None => push_bounded(&mut self.departed_unseen, (id.clone(), now)),
         }
