--- a/crates/mesh/src/ownership/leader/leader_machine.rs
+++ b/crates/mesh/src/ownership/leader/leader_machine.rs
@@ -199,10 +199,7 @@
         if beat.intent_offset > self.intent.offset {
             actions.push(Action::FetchIntent(beat.member.traffic));
         }
-        actions.push(Action::Send(
-            from,
-            PeerMessage::LeaderReply(Box::new(order)),
-        ));
+        actions.push(Action::Send(from, PeerMessage::Reply(Box::new(order))));
     }
 
     /// Takes over what a beat says, if it comes from the process that speaks for its node; tells whether
--- a/crates/mesh/src/ownership/leader/record_keeping.rs
+++ b/crates/mesh/src/ownership/leader/record_keeping.rs
@@ -145,12 +145,9 @@
         if let Some(record) = keeper.pending.clone().filter(|_| keeper.missing) {
             // Both copies want the same place, so one of them lands at most.
             keeper.missing = false;
-            let end = keeper.end;
-            keeper.writing = Some((now, end));
-            actions.push(Action::WriteLeader {
-                topic_end: end,
-                record,
-            });
+            let topic_end = keeper.end;
+            keeper.writing = Some((now, topic_end));
+            actions.push(Action::WriteLeader { topic_end, record });
         } else if keeper.pending.is_none() && self.takeover.is_none() && due {
             let record = LeaderRecord {
                 voters: match calm {
@@ -161,14 +158,11 @@
                 store_suffices: alone,
                 ..self.record.clone()
             };
-            let end = keeper.end;
-            keeper.writing = Some((now, end));
+            let topic_end = keeper.end;
+            keeper.writing = Some((now, topic_end));
             keeper.written = now;
             keeper.pending = Some(record.clone());
-            actions.push(Action::WriteLeader {
-                topic_end: end,
-                record,
-            });
+            actions.push(Action::WriteLeader { topic_end, record });
         } else if now.since(keeper.asked) >= self.times.verify_interval {
             keeper.reading = Some(now);
             keeper.asked = now;
--- a/crates/mesh/src/ownership/message/peer_message.rs
+++ b/crates/mesh/src/ownership/message/peer_message.rs
@@ -19,7 +19,7 @@
     /// A heartbeat of a node to its leader.
     Heartbeat(Box<NodeHeartbeat>),
     /// The leader's reply to a heartbeat.
-    LeaderReply(Box<LeaderReply>),
+    Reply(Box<LeaderReply>),
     /// The question of a node without contact to its leader whether a peer has contact.
     LeaderQuery {
         /// The sender.
@@ -38,7 +38,7 @@
         /// The epoch of the query.
         epoch: Epoch,
         /// Whether the leader of that epoch, or a later one, replies to the sender.
-        leader_responsive: bool,
+        responsive: bool,
         /// The offset up to which the sender has read the operators' intent.
         intent_offset: u64,
         /// Where peers can fetch that intent.
--- a/crates/mesh/src/ownership/node_machine/peer_messages.rs
+++ b/crates/mesh/src/ownership/node_machine/peer_messages.rs
@@ -51,7 +51,7 @@
                     leader.handle_heartbeat(now, from, &heartbeat, actions);
                 }
             }
-            PeerMessage::LeaderReply(reply) => self.apply_reply(now, &reply, actions),
+            PeerMessage::Reply(reply) => self.apply_reply(now, &reply, actions),
             PeerMessage::LeaderQuery {
                 from: _,
                 epoch,
@@ -64,13 +64,12 @@
             PeerMessage::LeaderStatus {
                 from,
                 epoch,
-                leader_responsive,
+                responsive,
                 intent_offset,
                 traffic,
             } => {
                 self.fetch_newer_intent(now, intent_offset, traffic, actions);
-                self.search
-                    .record_reply(now, from.node, epoch, leader_responsive);
+                self.search.record_reply(now, from.node, epoch, responsive);
             }
             PeerMessage::LeaderAnnouncement(record) => {
                 if record.epoch > self.ended_epoch {
@@ -91,12 +90,12 @@
 
     /// Returns the reply to a query whether the leader of an epoch responds to this node.
     fn leader_status(&self, now: Moment, epoch: Epoch) -> PeerMessage {
-        let leader_responsive =
+        let responsive =
             self.is_leader_responsive(now) && self.epoch().is_some_and(|own| own >= epoch);
         PeerMessage::LeaderStatus {
             from: self.profile.incarnation.clone(),
             epoch,
-            leader_responsive,
+            responsive,
             intent_offset: self.intent.offset,
             traffic: self.profile.traffic,
         }
--- a/crates/mesh/tests/ownership_support/tracing.rs
+++ b/crates/mesh/tests/ownership_support/tracing.rs
@@ -27,7 +27,7 @@
                 .map(|server| (server.holding_known, server.silent)),
             ranges(&beat.holding)
         ),
-        Action::Send(to, PeerMessage::LeaderReply(order)) => format!(
+        Action::Send(to, PeerMessage::Reply(order)) => format!(
             "order {} to {to} epoch {} stamp {} lease {} {:?}",
             order.sequence,
             order.epoch,
