--- a/crates/core/src/ownership/lease_times.rs
+++ b/crates/core/src/ownership/lease_times.rs
@@ -38,12 +38,12 @@
 
     /// Returns the time after which neither an older controller nor its last holder can still
     /// believe: one lease for the controller's authority, one for the lease it gave last.
-    pub fn full_wait(self) -> Milliseconds {
+    pub fn unreported_wait(self) -> Milliseconds {
         Milliseconds(self.lease.0 * 2 + self.margin.0)
     }
 
     /// Returns how long a deputy hears nothing before it acts.
-    pub fn detection(self) -> Duration {
+    pub fn detection_time(self) -> Duration {
         self.lease() * 3 / 8
     }
 }
--- a/crates/core/src/ownership/machine/appender.rs
+++ b/crates/core/src/ownership/machine/appender.rs
@@ -81,7 +81,7 @@
 
     /// Retries what is due and drops what has been read back.
     pub(super) fn retry(&mut self, now: Moment, log: &ControlLog, out: &mut Outbox) {
-        self.pending.retain(|pending| !log.holds(pending.id));
+        self.pending.retain(|pending| !log.contains(pending.id));
         for pending in &mut self.pending {
             if pending.next_try <= now {
                 pending.next_try = now + ANSWER_TIMEOUT;
--- a/crates/core/src/ownership/machine/claiming.rs
+++ b/crates/core/src/ownership/machine/claiming.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use super::Divisions;
-use super::MOST_VOTERS;
+use super::MAX_VOTERS;
 use super::Outbox;
 use super::Ownership;
 use super::RecordKind;
-use super::compose_claim;
+use super::build_claim;
 use crate::cluster::Member;
 use crate::explain::Happening;
 use crate::ownership::record::Claim;
@@ -60,7 +60,7 @@
         let (_, context) = self.parts(now);
         let mut divisions = Divisions::collect(&context, known.as_deref());
         divisions.add_services(&context);
-        let claim = compose_claim(&context, candidates, members, &divisions);
+        let claim = build_claim(&context, candidates, members, &divisions);
         self.claim(now, claim, out);
     }
 
@@ -75,7 +75,7 @@
         }
         let servers = self.expected_servers();
         let wanted = match servers {
-            Some(servers) => (servers as usize / 2 + 1).min(MOST_VOTERS),
+            Some(servers) => (servers as usize / 2 + 1).min(MAX_VOTERS),
             None => FEWEST_FOUNDERS,
         };
         self.known_members().len() >= wanted
--- a/crates/core/src/ownership/machine/control_log.rs
+++ b/crates/core/src/ownership/machine/control_log.rs
@@ -63,7 +63,7 @@
     }
 
     /// Tells whether a record was read.
-    pub(super) fn holds(&self, id: RecordId) -> bool {
+    pub(super) fn contains(&self, id: RecordId) -> bool {
         self.seen.contains(&id)
     }
 
@@ -80,7 +80,7 @@
         self.joins.values()
     }
 
-    pub(super) fn next(&self) -> Offset {
+    pub(super) fn next_offset(&self) -> Offset {
         self.next
     }
 
@@ -156,7 +156,7 @@
     }
 
     fn install(&mut self, claim: Claim) {
-        let own = claim.times.full_wait();
+        let own = claim.times.unreported_wait();
         let (earlier, wait) = match self.term.take() {
             None => (Vec::new(), own),
             Some(state) => (state.voter_sets(), state.successor_wait().max(own)),
--- a/crates/core/src/ownership/machine/controller/calls.rs
+++ b/crates/core/src/ownership/machine/controller/calls.rs
@@ -9,7 +9,7 @@
 use super::SliceState;
 use crate::ids::NodeName;
 use crate::ownership::PeerMessage;
-use crate::ownership::message::Lead;
+use crate::ownership::message::ControllerAnnouncement;
 use crate::time::Moment;
 
 /// How often deputies hear the controller; three lost ones stay below their detection time.
@@ -95,13 +95,16 @@
         let Some(seat) = self.seats.get(node) else {
             return;
         };
-        let lead = Lead {
+        let lead = ControllerAnnouncement {
             ballot: self.ballot,
             round: self.authority.round_at(context.now),
-            prompt,
+            request_heartbeat: prompt,
             term: introduces.then(|| self.term.as_ref().clone()),
         };
-        out.send(seat.member.heartbeat, PeerMessage::Lead(Box::new(lead)));
+        out.send(
+            seat.member.heartbeat,
+            PeerMessage::ControllerAnnouncement(Box::new(lead)),
+        );
     }
 }
 
--- a/crates/core/src/ownership/machine/controller/heartbeats.rs
+++ b/crates/core/src/ownership/machine/controller/heartbeats.rs
@@ -14,7 +14,7 @@
 use crate::ownership::message::Drain;
 use crate::ownership::message::Grant;
 use crate::ownership::message::Heartbeat;
-use crate::ownership::message::News;
+use crate::ownership::message::Updates;
 
 /// The weight of the newest rate in the smoothed one.
 const RATE_WEIGHT: f32 = 0.3;
@@ -30,7 +30,7 @@
         if !self.seat(context, &heartbeat, out) {
             return;
         }
-        if let Some(round) = heartbeat.round {
+        if let Some(round) = heartbeat.acked {
             self.authority.acknowledge(&heartbeat.node, round);
         }
         if !self.take_report(context, &heartbeat, out) {
@@ -79,7 +79,7 @@
         }
         seat.number = heartbeat.number;
         seat.heard = Some(context.now);
-        seat.hears = seat.hears.max(self.authority.sent_at(heartbeat.heard));
+        seat.hears = seat.hears.max(self.authority.sent_at(heartbeat.round));
         if let Some(profile) = &heartbeat.profile {
             seat.member = profile.member.clone();
             seat.profile = Some(profile.clone());
@@ -101,10 +101,10 @@
         heartbeat: &Heartbeat,
         out: &mut Outbox,
     ) -> bool {
-        let Some(report) = &heartbeat.report else {
+        let Some(report) = &heartbeat.leases else {
             return true;
         };
-        let Some(heard) = self.authority.sent_at(heartbeat.heard) else {
+        let Some(heard) = self.authority.sent_at(heartbeat.round) else {
             if report.is_empty() {
                 return true;
             }
@@ -135,7 +135,7 @@
                 continue;
             };
             let owned = entry.assignment().is_some_and(|assignment| {
-                (assignment.fence == *fence || !context.rules.named_release)
+                (assignment.fence == *fence || !context.rules.fenced_release)
                     && assignment.node == heartbeat.node
                     && assignment.incarnation == heartbeat.incarnation
             });
@@ -145,7 +145,7 @@
             let confirmed = entry.assignment().is_some_and(|known| known.confirmed);
             entry.release(context.now);
             self.touched = true;
-            if context.rules.named_release {
+            if context.rules.fenced_release {
                 self.fences.remove(fence);
             }
             if !confirmed && let Some(seat) = self.seats.get_mut(&heartbeat.node) {
@@ -178,11 +178,11 @@
         };
         let to = seat.member.heartbeat;
         let version = context.intent.map(|intent| intent.version);
-        let news = News {
-            intent: version.and_then(|version| seat.tell_intent(version)),
+        let news = Updates {
+            intent_version: version.and_then(|version| seat.tell_intent(version)),
             routing: self.routing.delta_since(heartbeat.routing),
         };
-        let is_any = news.intent.is_some() || news.routing.is_some();
+        let is_any = news.intent_version.is_some() || news.routing.is_some();
         let dropped = self.renew_held(context, heartbeat, out);
         let grants = self.pending_grants(context, &heartbeat.node, heartbeat.incarnation);
         let answer = Answer {
@@ -190,10 +190,10 @@
             incarnation: heartbeat.incarnation,
             number: heartbeat.number,
             round: self.authority.round_at(context.now),
-            dropped,
+            unrecognised: dropped,
             grants,
             drains: self.pending_drains(&heartbeat.node, heartbeat.incarnation),
-            news: is_any.then(|| Box::new(news)),
+            updates: is_any.then(|| Box::new(news)),
         };
         out.send(to, PeerMessage::Answer(Box::new(answer)));
     }
--- a/crates/core/src/ownership/machine/controller/leases.rs
+++ b/crates/core/src/ownership/machine/controller/leases.rs
@@ -44,7 +44,7 @@
             }
         }
         self.slices.retain(|slice, entry| {
-            self.divisions.names(context, slice) || !matches!(entry.state, SliceState::Free)
+            self.divisions.has_slice(context, slice) || !matches!(entry.state, SliceState::Free)
         });
     }
 
@@ -101,7 +101,7 @@
                 // after the lapse shows that there is none.
                 SliceState::Lapsed(since)
                     if confirmed.is_some_and(|confirmed| confirmed > *since)
-                        || !context.rules.late_round =>
+                        || !context.rules.confirm_lapse =>
                 {
                     entry.state = SliceState::Free;
                 }
--- a/crates/core/src/ownership/machine/controller/moves.rs
+++ b/crates/core/src/ownership/machine/controller/moves.rs
@@ -70,7 +70,7 @@
         slice: &SliceId,
     ) -> Option<MoveReason> {
         context.intent?;
-        if !self.divisions.names(context, slice) {
+        if !self.divisions.has_slice(context, slice) {
             return Some(MoveReason::Withdrawn);
         }
         if !context.is_in_service(&seat.member) {
--- a/crates/core/src/ownership/machine/controller/placement.rs
+++ b/crates/core/src/ownership/machine/controller/placement.rs
@@ -116,7 +116,7 @@
         slice: &SliceId,
         out: &mut Outbox,
     ) -> Option<NodeName> {
-        if !self.divisions.names(context, slice) {
+        if !self.divisions.has_slice(context, slice) {
             return None;
         }
         let planned = self.slices.get(slice)?.planned.as_ref();
--- a/crates/core/src/ownership/machine/controller/records.rs
+++ b/crates/core/src/ownership/machine/controller/records.rs
@@ -6,8 +6,8 @@
 use super::Controller;
 use super::Seat;
 use super::SliceState;
+use super::build_claim;
 use super::choose_voters;
-use super::compose_claim;
 use super::interleave_zones;
 use crate::cluster::Member;
 use crate::ids::NodeName;
@@ -62,7 +62,7 @@
         self.log_lost = false;
         self.checkpointed = Some(context.now);
         Some(Checkpoint {
-            next_offset: context.log.next(),
+            next_offset: context.log.next_offset(),
             term: term.clone(),
         })
     }
@@ -96,7 +96,7 @@
         self.claimed = Some(context.now);
         let members = self.seats.values().map(|seat| seat.member.clone());
         let members = members.collect();
-        Some(compose_claim(
+        Some(build_claim(
             context,
             self.candidates(context),
             members,
--- a/crates/core/src/ownership/machine/controller/routing_book.rs
+++ b/crates/core/src/ownership/machine/controller/routing_book.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 
-use super::super::RoutingView;
+use super::super::RoutingReplica;
 use crate::cluster::RoutingNode;
 use crate::cluster::RoutingTable;
 use crate::cluster::RoutingVersion;
@@ -27,7 +27,7 @@
     services: BTreeMap<ServiceName, u32>,
     numbers: u32,
     changes: VecDeque<RoutingChange>,
-    view: RoutingView,
+    view: RoutingReplica,
 }
 
 impl RoutingBook {
@@ -39,7 +39,7 @@
             services: BTreeMap::new(),
             numbers: 0,
             changes: VecDeque::new(),
-            view: RoutingView::default(),
+            view: RoutingReplica::default(),
         }
     }
 
@@ -84,7 +84,7 @@
         let mut changes = Vec::new();
         for (name, node) in &table.nodes {
             if let Some(number) = self.nodes.get(name) {
-                changes.push(RoutingChange::Node {
+                changes.push(RoutingChange::NodeUpdated {
                     number: *number,
                     node: Box::new(node.clone()),
                 });
@@ -109,13 +109,13 @@
         slices: &ServiceSlices,
         changes: &mut Vec<RoutingChange>,
     ) {
-        changes.push(RoutingChange::Service {
+        changes.push(RoutingChange::ServiceUpdated {
             number,
             name: name.clone(),
             count: slices.count,
         });
         for (key, index) in &slices.hot {
-            changes.push(RoutingChange::Split {
+            changes.push(RoutingChange::KeySplit {
                 service: number,
                 key: *key,
                 index: *index,
@@ -123,7 +123,7 @@
         }
         for (index, owner) in &slices.owners {
             if let Some(owner) = self.nodes.get(owner) {
-                changes.push(RoutingChange::Owner {
+                changes.push(RoutingChange::OwnerSet {
                     service: number,
                     index: *index,
                     owner: *owner,
@@ -134,7 +134,7 @@
 
     fn record(&mut self, change: RoutingChange) {
         self.count += 1;
-        self.view.change(&change);
+        self.view.apply_change(&change);
         self.changes.push_back(change);
         if self.changes.len() > KEPT_CHANGES {
             self.changes.pop_front();
@@ -155,7 +155,7 @@
             .collect();
         for name in gone {
             if let Some(number) = self.nodes.remove(&name) {
-                self.record(RoutingChange::Gone { number });
+                self.record(RoutingChange::NodeRemoved { number });
             }
         }
         for (name, node) in &wanted.nodes {
@@ -168,7 +168,7 @@
                 None => self.number(),
             };
             self.nodes.insert(name.clone(), number);
-            self.record(RoutingChange::Node {
+            self.record(RoutingChange::NodeUpdated {
                 number,
                 node: Box::new(node.clone()),
             });
@@ -185,7 +185,7 @@
             if !is_load_apart(known, node) {
                 continue;
             }
-            let change = RoutingChange::Load {
+            let change = RoutingChange::LoadUpdated {
                 number: *number,
                 state: node.state,
                 limit: node.limit,
@@ -206,7 +206,7 @@
             .collect();
         for name in gone {
             if let Some(number) = self.services.remove(&name) {
-                self.record(RoutingChange::Withdrawn { number });
+                self.record(RoutingChange::ServiceRemoved { number });
             }
         }
         for (name, slices) in &wanted.services {
@@ -223,7 +223,7 @@
         let known = self.view.table().services.get(name).cloned();
         let known = known.unwrap_or_default();
         if known.count != slices.count {
-            self.record(RoutingChange::Service {
+            self.record(RoutingChange::ServiceUpdated {
                 number: service,
                 name: name.clone(),
                 count: slices.count,
@@ -231,7 +231,7 @@
         }
         for (key, index) in &slices.hot {
             if known.hot.get(key) != Some(index) {
-                self.record(RoutingChange::Split {
+                self.record(RoutingChange::KeySplit {
                     service,
                     key: *key,
                     index: *index,
@@ -240,13 +240,13 @@
         }
         for key in known.hot.keys() {
             if !slices.hot.contains_key(key) {
-                self.record(RoutingChange::Merged { service, key: *key });
+                self.record(RoutingChange::KeyMerged { service, key: *key });
             }
         }
         for (index, owner) in &slices.owners {
             let number = self.nodes.get(owner).copied();
             if let Some(owner) = number.filter(|_| known.owners.get(index) != Some(owner)) {
-                self.record(RoutingChange::Owner {
+                self.record(RoutingChange::OwnerSet {
                     service,
                     index: *index,
                     owner,
@@ -256,7 +256,7 @@
         for index in known.owners.keys() {
             if !slices.owners.contains_key(index) {
                 let index = *index;
-                self.record(RoutingChange::Vacant { service, index });
+                self.record(RoutingChange::OwnerCleared { service, index });
             }
         }
     }
--- a/crates/core/src/ownership/machine/controller/routing_wanted.rs
+++ b/crates/core/src/ownership/machine/controller/routing_wanted.rs
@@ -94,7 +94,7 @@
     /// speaks to this controller within that time; a table without the others would have every ingress
     /// refuse their requests.
     fn is_carried(&self, context: &Context<'_>, seat: &Seat) -> bool {
-        let recent = context.now.since(self.opened) < self.times().detection();
+        let recent = context.now.since(self.opened) < self.times().detection_time();
         recent && seat.profile.is_none()
     }
 
--- a/crates/core/src/ownership/machine/controller/takeover.rs
+++ b/crates/core/src/ownership/machine/controller/takeover.rs
@@ -11,7 +11,7 @@
 use crate::ids::Incarnation;
 use crate::ids::NodeName;
 use crate::ids::Rank;
-use crate::ownership::message::Holding;
+use crate::ownership::message::LeaseReport;
 use crate::time::Moment;
 
 impl Controller {
@@ -36,7 +36,7 @@
             };
             // A lease that may have ended before the majority may have been granted to another
             // node by the old controller, which still had its own majority then.
-            let extends = context.now < *earliest || !context.rules.early_majority;
+            let extends = context.now < *earliest || !context.rules.timely_majority;
             entry.state = if extends {
                 SliceState::Granted(assignment.clone())
             } else {
@@ -73,7 +73,7 @@
         if self.term.is_first() && self.ballot.rank == Rank(0) {
             return None;
         }
-        let wait = if context.rules.full_wait {
+        let wait = if context.rules.double_wait {
             self.term.unreported_wait.as_duration()
         } else {
             self.times().lease()
@@ -88,7 +88,7 @@
         node: &NodeName,
         incarnation: Incarnation,
         heard: Moment,
-        holding: &Holding,
+        holding: &LeaseReport,
     ) {
         let assignment = Assignment {
             node: node.clone(),
@@ -113,7 +113,7 @@
                 assignment,
                 earliest,
             },
-            Some(at) if at < earliest || !context.rules.early_majority => {
+            Some(at) if at < earliest || !context.rules.timely_majority => {
                 self.fences.insert(holding.fence, holding.slice.clone());
                 SliceState::Granted(assignment)
             }
--- a/crates/core/src/ownership/machine/divisions.rs
+++ b/crates/core/src/ownership/machine/divisions.rs
@@ -45,7 +45,7 @@
     }
 
     /// Tells whether the document names the service of a slice and the service has the slice.
-    pub(super) fn names(&self, context: &Context<'_>, slice: &SliceId) -> bool {
+    pub(super) fn has_slice(&self, context: &Context<'_>, slice: &SliceId) -> bool {
         let document = context.intent.map(|intent| &intent.document);
         let named = document.is_some_and(|document| document.service(&slice.service).is_some());
         named && slice.index.0 < self.count(&slice.service)
@@ -53,7 +53,7 @@
 
     /// Lists the divisions of the services that the document still names, for the next claim. All
     /// are kept while the document is not known.
-    pub(super) fn named_by(&self, context: &Context<'_>) -> Vec<Division> {
+    pub(super) fn named_in(&self, context: &Context<'_>) -> Vec<Division> {
         let named = |name: &ServiceName| {
             context
                 .intent
--- a/crates/core/src/ownership/machine/holder/answers.rs
+++ b/crates/core/src/ownership/machine/holder/answers.rs
@@ -39,14 +39,14 @@
         for fence in &heartbeat.released {
             self.released.remove(fence);
         }
-        let start = if self.rules.sent_clock {
+        let start = if self.rules.send_time {
             heartbeat.sent
         } else {
             now
         };
         let deadline = (start + times.lease()).before(times.margin());
-        self.renew(&heartbeat.held, &answer.dropped, deadline);
-        self.drop_unrecognised(&answer.dropped, out);
+        self.renew(&heartbeat.held, &answer.unrecognised, deadline);
+        self.drop_unrecognised(&answer.unrecognised, out);
         for grant in &answer.grants {
             self.take_grant(now, grant, deadline, out);
         }
--- a/crates/core/src/ownership/machine/holder/heartbeats.rs
+++ b/crates/core/src/ownership/machine/holder/heartbeats.rs
@@ -11,8 +11,8 @@
 use crate::ids::SlotCount;
 use crate::ownership::LeaseTimes;
 use crate::ownership::message::Heartbeat;
-use crate::ownership::message::Holding;
 use crate::ownership::message::KeyRate;
+use crate::ownership::message::LeaseReport;
 use crate::ownership::message::LoadReport;
 use crate::ownership::message::Profile;
 use crate::time::Milliseconds;
@@ -57,11 +57,11 @@
             incarnation: self.own.incarnation,
             number: self.number,
             ballot: voice.ballot,
-            round: voice.round,
-            heard: voice.heard,
+            acked: voice.round,
+            round: voice.heard,
             held: held.iter().map(|(_, fence)| *fence).collect(),
             released: self.released.iter().copied().collect(),
-            report: (!self.answered).then(|| self.report(now)),
+            leases: (!self.answered).then(|| self.report(now)),
             profile: profile.then(|| self.describe()),
             load,
             routing: voice.routing,
@@ -76,8 +76,8 @@
         heartbeat
     }
 
-    fn report(&self, now: Moment) -> Vec<Holding> {
-        let holding = |(slice, lease): (&_, &super::HeldLease)| Holding {
+    fn report(&self, now: Moment) -> Vec<LeaseReport> {
+        let holding = |(slice, lease): (&_, &super::HeldLease)| LeaseReport {
             slice: Clone::clone(slice),
             fence: lease.fence,
             remaining: whole_milliseconds(lease.deadline.since(now)),
--- a/crates/core/src/ownership/machine/holder/mod.rs
+++ b/crates/core/src/ownership/machine/holder/mod.rs
@@ -262,7 +262,7 @@
     fn give_back(&mut self, slice: &SliceId, fence: Fence) {
         self.leases.remove(slice);
         self.released.insert(fence);
-        if self.rules.named_release {
+        if self.rules.fenced_release {
             self.ended.insert(slice.clone(), fence);
             self.sent.clear();
         }
--- a/crates/core/src/ownership/machine/messages.rs
+++ b/crates/core/src/ownership/machine/messages.rs
@@ -14,11 +14,11 @@
 use crate::ownership::PeerMessage;
 use crate::ownership::message::Acknowledgement;
 use crate::ownership::message::Answer;
+use crate::ownership::message::ControllerAnnouncement;
+use crate::ownership::message::ControllerQuery;
+use crate::ownership::message::ControllerStatus;
 use crate::ownership::message::Echo;
 use crate::ownership::message::Heartbeat;
-use crate::ownership::message::Inquiry;
-use crate::ownership::message::Lead;
-use crate::ownership::message::Notice;
 use crate::ownership::message::RoutingDelta;
 use crate::ownership::record::TermState;
 use crate::time::Moment;
@@ -32,23 +32,24 @@
         out: &mut Outbox,
     ) {
         match message {
-            PeerMessage::Lead(lead) => self.take_lead(now, *lead, out),
+            PeerMessage::ControllerAnnouncement(lead) => self.take_lead(now, *lead, out),
             PeerMessage::Heartbeat(heartbeat) => self.take_heartbeat(now, heartbeat, out),
             PeerMessage::Answer(answer) => self.take_answer(now, *answer, out),
             PeerMessage::Acknowledgement(acknowledgement) => {
                 self.take_acknowledgement(&acknowledgement, out);
             }
-            PeerMessage::Inquiry(inquiry) => self.take_inquiry(now, from, &inquiry, out),
-            PeerMessage::Notice(notice) => self.take_notice(now, *notice, out),
+            PeerMessage::ControllerQuery(inquiry) => self.take_inquiry(now, from, &inquiry, out),
+            PeerMessage::ControllerStatus(notice) => self.take_notice(now, *notice, out),
             PeerMessage::Routing(delta) => self.take_routing(&delta, out),
             PeerMessage::Probe(probe) => {
                 let node = self.config.member.node.clone();
-                let asked = probe.asked;
-                let echo = Echo { node, asked };
-                out.send(probe.heartbeat, PeerMessage::Echo(echo));
+                let probe_sent = probe.sent_at;
+                let echo = Echo { node, probe_sent };
+                out.send(probe.reply_to, PeerMessage::Echo(echo));
             }
             PeerMessage::Echo(echo) => {
-                self.reach.note_echo(now, echo.node, Moment(echo.asked));
+                self.reach
+                    .note_echo(now, echo.node, Moment(echo.probe_sent));
             }
             PeerMessage::Resign(ballot) => {
                 if ballot == self.voter.adopted() {
@@ -59,7 +60,7 @@
     }
 
     /// Follows a controller unless a higher one is known, and acknowledges it.
-    fn take_lead(&mut self, now: Moment, lead: Lead, out: &mut Outbox) {
+    fn take_lead(&mut self, now: Moment, lead: ControllerAnnouncement, out: &mut Outbox) {
         // A restarted voter has forgotten what it adopted, but the log still says which term was
         // established; acknowledging an older one could revive a controller that was replaced.
         if self
@@ -77,7 +78,7 @@
         if introduced {
             self.holder.introduce(now);
         }
-        if lead.prompt {
+        if lead.request_heartbeat {
             self.holder.hurry(now);
         }
         self.acknowledge(now, lead.round, out);
@@ -92,8 +93,10 @@
         self.voter.hear(now, answer.round);
         self.holder
             .take_answer(now, self.voter.times(), &answer, out);
-        if let Some(news) = &answer.news {
-            self.told_intent = self.told_intent.max(news.intent.unwrap_or_default());
+        if let Some(news) = &answer.updates {
+            self.told_intent = self
+                .told_intent
+                .max(news.intent_version.unwrap_or_default());
             if let Some(delta) = &news.routing {
                 self.take_routing(delta, out);
             }
@@ -133,7 +136,13 @@
         }
     }
 
-    fn take_inquiry(&mut self, now: Moment, from: SocketAddr, inquiry: &Inquiry, out: &mut Outbox) {
+    fn take_inquiry(
+        &mut self,
+        now: Moment,
+        from: SocketAddr,
+        inquiry: &ControllerQuery,
+        out: &mut Outbox,
+    ) {
         if self.voter.is_own(&inquiry.node) {
             return;
         }
@@ -143,16 +152,16 @@
         let Some(term) = self.voter.term().filter(|_| !stale) else {
             return;
         };
-        let notice = Notice {
+        let notice = ControllerStatus {
             rank: self.voter.adopted().rank,
             term: term.as_ref().clone(),
         };
-        out.send(from, PeerMessage::Notice(Box::new(notice)));
+        out.send(from, PeerMessage::ControllerStatus(Box::new(notice)));
     }
 
     /// Learns of a controller from another node. Adopting it on hearsay only raises what this node
     /// refuses, so it is as safe as hearing the controller itself.
-    fn take_notice(&mut self, now: Moment, notice: Notice, out: &mut Outbox) {
+    fn take_notice(&mut self, now: Moment, notice: ControllerStatus, out: &mut Outbox) {
         let ballot = notice.term.ballot(notice.rank);
         self.follow(now, ballot, Some(notice.term), out);
     }
--- a/crates/core/src/ownership/machine/mod.rs
+++ b/crates/core/src/ownership/machine/mod.rs
@@ -16,7 +16,7 @@
 mod pending_append;
 mod reach;
 mod record_kind;
-mod routing_view;
+mod routing_replica;
 mod search;
 mod succession;
 mod voter;
@@ -32,11 +32,11 @@
 use pending_append::PendingAppend;
 use reach::Reach;
 use record_kind::RecordKind;
-use routing_view::RoutingView;
+use routing_replica::RoutingReplica;
 use search::Search;
-use succession::MOST_VOTERS;
+use succession::MAX_VOTERS;
+use succession::build_claim;
 use succession::choose_voters;
-use succession::compose_claim;
 use succession::interleave_zones;
 use voter::Voter;
 
@@ -69,7 +69,7 @@
     /// The highest ballot under which this life has acted; it never acts under it again.
     acted: Ballot,
     intent: Option<Arc<InForce>>,
-    routing: RoutingView,
+    routing: RoutingReplica,
     search: Search,
     reach: Reach,
     /// The highest version of the intent that a controller told of.
@@ -92,7 +92,7 @@
             controller: None,
             acted: Ballot::default(),
             intent: None,
-            routing: RoutingView::default(),
+            routing: RoutingReplica::default(),
             search: Search::default(),
             reach: Reach::default(),
             told_intent: Version::default(),
--- a/crates/core/src/ownership/machine/office.rs
+++ b/crates/core/src/ownership/machine/office.rs
@@ -133,7 +133,7 @@
 
     /// Returns how long silence must last before the deputy acts that has `ahead` others before it.
     pub(super) fn patience(&self, ahead: u32) -> Duration {
-        let detection = self.voter.times().detection();
+        let detection = self.voter.times().detection_time();
         detection + detection / 2 * ahead
     }
 
@@ -141,7 +141,7 @@
     /// it has forgotten what it granted under it.
     fn rank_in(&self, term: &TermState) -> Option<Rank> {
         let own = &self.config.member;
-        if self.config.rules.named_lives {
+        if self.config.rules.exact_incarnation {
             return term.rank_of(&own.node, own.incarnation);
         }
         let place = term
--- a/crates/core/src/ownership/machine/outlook.rs
+++ b/crates/core/src/ownership/machine/outlook.rs
@@ -8,12 +8,12 @@
 
 impl Ownership {
     /// Returns the ballot of the controller that the node adopted last.
-    pub fn ballot(&self) -> Ballot {
+    pub fn adopted_ballot(&self) -> Ballot {
         self.voter.adopted()
     }
 
     /// Returns the controller that the node follows, if it knows one.
-    pub fn followed(&self) -> Option<&Member> {
+    pub fn followed_controller(&self) -> Option<&Member> {
         self.voter.controller()
     }
 
@@ -30,7 +30,7 @@
     }
 
     /// Returns the highest version of the intent that a controller told of.
-    pub fn told_intent(&self) -> Version {
+    pub fn announced_intent(&self) -> Version {
         self.told_intent
     }
 
@@ -40,13 +40,13 @@
     /// Any other node may stop. It has adopted a ballot and acknowledges no lower one, so the log
     /// can tell it nothing about terms that it must not miss; and as soon as the controller falls
     /// silent it reads on from where it stopped.
-    pub fn needs_control(&self, now: Moment) -> bool {
-        self.is_voter() || self.needs_intent(now)
+    pub fn needs_control_stream(&self, now: Moment) -> bool {
+        self.is_voter() || self.needs_intent_stream(now)
     }
 
     /// Tells whether this node must follow the intent stream itself: as controller or deputy, and
     /// while it hears no controller that would tell it of newer intent.
-    pub fn needs_intent(&self, now: Moment) -> bool {
+    pub fn needs_intent_stream(&self, now: Moment) -> bool {
         self.is_in_line() || !self.hears_controller(now)
     }
 
--- a/crates/core/src/ownership/machine/reach.rs
+++ b/crates/core/src/ownership/machine/reach.rs
@@ -77,8 +77,8 @@
             let votes = quorums.iter().flatten().any(|voter| *voter == member.node);
             if votes && !self.voter.is_own(&member.node) {
                 let probe = Probe {
-                    heartbeat: self.config.member.heartbeat,
-                    asked: now.0,
+                    reply_to: self.config.member.heartbeat,
+                    sent_at: now.0,
                 };
                 out.send(member.heartbeat, PeerMessage::Probe(probe));
             }
--- a/crates/core/src/ownership/machine/routing_view.rs
+++ b/crates/core/src/ownership/machine/routing_replica.rs
@@ -11,13 +11,13 @@
 
 /// Follows the controller's routing table by its changes.
 #[derive(Clone, Debug, Default)]
-pub(super) struct RoutingView {
+pub(super) struct RoutingReplica {
     nodes: BTreeMap<u32, NodeName>,
     services: BTreeMap<u32, ServiceName>,
     table: RoutingTable,
 }
 
-impl RoutingView {
+impl RoutingReplica {
     pub(super) fn table(&self) -> &RoutingTable {
         &self.table
     }
@@ -36,21 +36,21 @@
             return false;
         }
         for change in &delta.changes {
-            self.change(change);
+            self.apply_change(change);
         }
         self.table.version = delta.version;
         true
     }
 
     /// Applies one change; doing so twice does no harm.
-    pub(super) fn change(&mut self, change: &RoutingChange) {
+    pub(super) fn apply_change(&mut self, change: &RoutingChange) {
         match change {
-            RoutingChange::Node { number, node } => {
+            RoutingChange::NodeUpdated { number, node } => {
                 self.nodes.insert(*number, node.member.node.clone());
                 let name = node.member.node.clone();
                 self.table.nodes.insert(name, node.as_ref().clone());
             }
-            RoutingChange::Load {
+            RoutingChange::LoadUpdated {
                 number,
                 state,
                 limit,
@@ -65,7 +65,7 @@
                     node.latency_us = *latency_us;
                 }
             }
-            RoutingChange::Gone { number } => {
+            RoutingChange::NodeRemoved { number } => {
                 if let Some(name) = self.nodes.remove(number) {
                     self.table.nodes.remove(&name);
                 }
@@ -76,7 +76,7 @@
 
     fn change_service(&mut self, change: &RoutingChange) {
         match change {
-            RoutingChange::Service {
+            RoutingChange::ServiceUpdated {
                 number,
                 name,
                 count,
@@ -85,12 +85,12 @@
                 let slices = self.table.services.entry(name.clone()).or_default();
                 slices.count = *count;
             }
-            RoutingChange::Withdrawn { number } => {
+            RoutingChange::ServiceRemoved { number } => {
                 if let Some(name) = self.services.remove(number) {
                     self.table.services.remove(&name);
                 }
             }
-            RoutingChange::Owner {
+            RoutingChange::OwnerSet {
                 service,
                 index,
                 owner,
@@ -100,12 +100,12 @@
                     slices.owners.insert(*index, owner);
                 }
             }
-            RoutingChange::Vacant { service, index } => {
+            RoutingChange::OwnerCleared { service, index } => {
                 if let Some(slices) = self.slices(*service) {
                     slices.owners.remove(index);
                 }
             }
-            RoutingChange::Split {
+            RoutingChange::KeySplit {
                 service,
                 key,
                 index,
@@ -114,7 +114,7 @@
                     slices.hot.insert(*key, *index);
                 }
             }
-            RoutingChange::Merged { service, key } => {
+            RoutingChange::KeyMerged { service, key } => {
                 if let Some(slices) = self.slices(*service) {
                     slices.hot.remove(key);
                 }
--- a/crates/core/src/ownership/machine/search.rs
+++ b/crates/core/src/ownership/machine/search.rs
@@ -13,7 +13,7 @@
 use crate::cluster::Member;
 use crate::ids::NodeName;
 use crate::ownership::PeerMessage;
-use crate::ownership::message::Inquiry;
+use crate::ownership::message::ControllerQuery;
 use crate::ownership::record::ControlBody;
 use crate::ownership::record::TermState;
 use crate::time::Moment;
@@ -110,11 +110,11 @@
             .collect();
         for _ in 0..ASKED_NODES.min(known.len()) {
             let at = self.rng.random_range(0..known.len());
-            let inquiry = Inquiry {
+            let inquiry = ControllerQuery {
                 node: self.config.member.node.clone(),
                 incarnation: self.config.member.incarnation,
             };
-            out.send(known.swap_remove(at), PeerMessage::Inquiry(inquiry));
+            out.send(known.swap_remove(at), PeerMessage::ControllerQuery(inquiry));
         }
     }
 
--- a/crates/core/src/ownership/machine/succession.rs
+++ b/crates/core/src/ownership/machine/succession.rs
@@ -9,13 +9,13 @@
 use crate::ownership::record::Claim;
 
 /// How many voters a term has at most; more would cost datagrams and add little tolerance.
-pub(super) const MOST_VOTERS: usize = 15;
+pub(super) const MAX_VOTERS: usize = 15;
 /// How many deputies stand in line.
 const DEPUTIES: usize = 4;
 
 /// Composes the claim of the next term. `candidates` are the nodes believed to live, in service;
 /// `members` is every known node.
-pub(super) fn compose_claim(
+pub(super) fn build_claim(
     context: &Context<'_>,
     candidates: Vec<Member>,
     members: Vec<Member>,
@@ -30,18 +30,18 @@
     Claim {
         term,
         predecessor: base,
-        next_offset: context.log.next(),
+        next_offset: context.log.next_offset(),
         controllers: line,
         voters: choose_voters(ordered),
         members,
-        divisions: divisions.named_by(context),
+        divisions: divisions.named_in(context),
         times: context.times(),
     }
 }
 
 /// Chooses an odd count of voters, so that an even split of the zones leaves a majority.
 pub(super) fn choose_voters(mut ordered: Vec<Member>) -> Vec<Member> {
-    ordered.truncate(MOST_VOTERS);
+    ordered.truncate(MAX_VOTERS);
     if ordered.len().is_multiple_of(2) {
         ordered.pop();
     }
--- a/crates/core/src/ownership/machine/voter.rs
+++ b/crates/core/src/ownership/machine/voter.rs
@@ -111,7 +111,7 @@
 
     fn longest_wait(&self) -> Duration {
         let wait = self.term.as_ref().map(|term| term.unreported_wait);
-        let wait = wait.unwrap_or_else(|| LeaseTimes::default().full_wait());
+        let wait = wait.unwrap_or_else(|| LeaseTimes::default().unreported_wait());
         wait.as_duration()
     }
 
--- a/crates/core/src/ownership/message/answer.rs
+++ b/crates/core/src/ownership/message/answer.rs
@@ -5,7 +5,7 @@
 
 use super::Drain;
 use super::Grant;
-use super::News;
+use super::Updates;
 use crate::ids::Fence;
 use crate::ids::Incarnation;
 use crate::ownership::Ballot;
@@ -24,11 +24,11 @@
     /// Numbers the controller's messages, for the acknowledgement.
     pub round: u64,
     /// Grants that the controller does not recognise.
-    pub dropped: Vec<Fence>,
+    pub unrecognised: Vec<Fence>,
     /// Grants not yet confirmed.
     pub grants: Vec<Grant>,
     /// Grants to be handed over.
     pub drains: Vec<Drain>,
     /// What the node may not know yet; none in most answers, which keeps them short.
-    pub news: Option<Box<News>>,
+    pub updates: Option<Box<Updates>>,
 }
--- a/crates/core/src/ownership/message/inquiry.rs
+++ b/crates/core/src/ownership/message/controller_query.rs
@@ -9,7 +9,7 @@
 /// Asks another node which controller it follows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Inquiry {
+pub struct ControllerQuery {
     /// Who asks.
     pub node: NodeName,
     /// Its life.
--- a/crates/core/src/ownership/message/notice.rs
+++ b/crates/core/src/ownership/message/controller_status.rs
@@ -9,7 +9,7 @@
 /// Says which controller the sender follows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Notice {
+pub struct ControllerStatus {
     /// The controller's rank.
     pub rank: Rank,
     /// Its term.
--- a/crates/core/src/ownership/message/echo.rs
+++ b/crates/core/src/ownership/message/echo.rs
@@ -12,5 +12,5 @@
     /// Who answers.
     pub node: NodeName,
     /// What the probe said.
-    pub asked: u64,
+    pub probe_sent: u64,
 }
--- a/crates/core/src/ownership/message/heartbeat.rs
+++ b/crates/core/src/ownership/message/heartbeat.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::Holding;
+use super::LeaseReport;
 use super::LoadReport;
 use super::Profile;
 use crate::cluster::RoutingVersion;
@@ -25,15 +25,15 @@
     /// The ballot the node adopted.
     pub ballot: Ballot,
     /// The round the node acknowledges as a voter; none while it abstains.
-    pub round: Option<u64>,
+    pub acked: Option<u64>,
     /// The last round it received, acknowledged or not; it dates the report.
-    pub heard: u64,
+    pub round: u64,
     /// The grants confirmed by the backend server and still held.
     pub held: Vec<Fence>,
     /// The grants given back since the last answered heartbeat.
     pub released: Vec<Fence>,
     /// Everything held, for a controller that has not answered this node yet.
-    pub report: Option<Vec<Holding>>,
+    pub leases: Option<Vec<LeaseReport>>,
     /// Who the node is, for a controller that may not know it.
     pub profile: Option<Profile>,
     /// The load, in some heartbeats only.
--- a/crates/core/src/ownership/message/holding.rs
+++ b/crates/core/src/ownership/message/lease_report.rs
@@ -10,7 +10,7 @@
 /// Reports one lease to a new controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Holding {
+pub struct LeaseReport {
     /// The slice.
     pub slice: SliceId,
     /// The grant.
--- a/crates/core/src/ownership/message/mod.rs
+++ b/crates/core/src/ownership/message/mod.rs
@@ -2,39 +2,39 @@
 
 mod acknowledgement;
 mod answer;
+mod controller_announcement;
+mod controller_query;
+mod controller_status;
 mod drain;
 mod echo;
 mod grant;
 mod heartbeat;
-mod holding;
-mod inquiry;
 mod key_rate;
-mod lead;
+mod lease_report;
 mod load_report;
-mod news;
-mod notice;
 mod probe;
 mod profile;
 mod routing_change;
 mod routing_delta;
+mod updates;
 
 pub use acknowledgement::Acknowledgement;
 pub use answer::Answer;
+pub use controller_announcement::ControllerAnnouncement;
+pub use controller_query::ControllerQuery;
+pub use controller_status::ControllerStatus;
 pub use drain::Drain;
 pub use echo::Echo;
 pub use grant::Grant;
 pub use heartbeat::Heartbeat;
-pub use holding::Holding;
-pub use inquiry::Inquiry;
 pub use key_rate::KeyRate;
-pub use lead::Lead;
+pub use lease_report::LeaseReport;
 pub use load_report::LoadReport;
-pub use news::News;
-pub use notice::Notice;
 pub use probe::Probe;
 pub use profile::Profile;
 pub use routing_change::RoutingChange;
 pub use routing_delta::RoutingDelta;
+pub use updates::Updates;
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -46,7 +46,7 @@
 #[derive(Serialize, Deserialize)]
 pub enum PeerMessage {
     /// A controller asserts its ballot.
-    Lead(Box<Lead>),
+    ControllerAnnouncement(Box<ControllerAnnouncement>),
     /// A node tells the controller that it lives and what it holds.
     Heartbeat(Box<Heartbeat>),
     /// The controller answers one heartbeat.
@@ -54,9 +54,9 @@
     /// A voter acknowledges a controller's message.
     Acknowledgement(Acknowledgement),
     /// A node asks another for the controller.
-    Inquiry(Inquiry),
+    ControllerQuery(ControllerQuery),
     /// A node tells which controller it adopted.
-    Notice(Box<Notice>),
+    ControllerStatus(Box<ControllerStatus>),
     /// The controller pushes a change of the routing table between two heartbeats.
     Routing(Box<RoutingDelta>),
     /// A controller leaves; the next deputy acts without waiting.
--- a/crates/core/src/ownership/message/probe.rs
+++ b/crates/core/src/ownership/message/probe.rs
@@ -11,8 +11,8 @@
 pub struct Probe {
     /// Where the asking node takes datagrams. The echo goes there and not to where the probe came
     /// from, since it must show that the address works which others are told.
-    pub heartbeat: SocketAddr,
+    pub reply_to: SocketAddr,
     /// The asking node's own clock when it asked, in nanoseconds. The echo brings it back, so that
     /// a late echo shows its age; nobody else reads it.
-    pub asked: u64,
+    pub sent_at: u64,
 }
--- a/crates/core/src/ownership/message/routing_change.rs
+++ b/crates/core/src/ownership/message/routing_change.rs
@@ -16,14 +16,14 @@
 #[derive(Serialize, Deserialize)]
 pub enum RoutingChange {
     /// A node is new or changed.
-    Node {
+    NodeUpdated {
         /// The node's number.
         number: u32,
         /// The node.
         node: Box<RoutingNode>,
     },
     /// A node's load changed.
-    Load {
+    LoadUpdated {
         /// The node's number.
         number: u32,
         /// The backend server's condition.
@@ -36,12 +36,12 @@
         latency_us: u32,
     },
     /// A node is gone.
-    Gone {
+    NodeRemoved {
         /// The node's number.
         number: u32,
     },
     /// A service is new or its count of slices changed.
-    Service {
+    ServiceUpdated {
         /// The service's number.
         number: u32,
         /// The service.
@@ -50,12 +50,12 @@
         count: u32,
     },
     /// A service is gone.
-    Withdrawn {
+    ServiceRemoved {
         /// The service's number.
         number: u32,
     },
     /// A slice has a holder.
-    Owner {
+    OwnerSet {
         /// The service's number.
         service: u32,
         /// The slice.
@@ -64,14 +64,14 @@
         owner: u32,
     },
     /// A slice has no holder.
-    Vacant {
+    OwnerCleared {
         /// The service's number.
         service: u32,
         /// The slice.
         index: SliceIndex,
     },
     /// A key became a slice of its own.
-    Split {
+    KeySplit {
         /// The service's number.
         service: u32,
         /// The key.
@@ -80,7 +80,7 @@
         index: SliceIndex,
     },
     /// A key went back to the slice of its hash.
-    Merged {
+    KeyMerged {
         /// The service's number.
         service: u32,
         /// The key.
--- a/crates/core/src/ownership/message/news.rs
+++ b/crates/core/src/ownership/message/updates.rs
@@ -9,10 +9,10 @@
 /// Carries what is newer at the controller than at the node that it answers.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct News {
+pub struct Updates {
     /// The version of the intent that the controller follows, so that nodes which do not read the
     /// log learn that there is something newer.
-    pub intent: Option<Version>,
+    pub intent_version: Option<Version>,
     /// What is newer in the routing table.
     pub routing: Option<RoutingDelta>,
 }
--- a/crates/core/src/ownership/record/term_state.rs
+++ b/crates/core/src/ownership/record/term_state.rs
@@ -76,7 +76,7 @@
     /// Returns how long the next term waits for what was granted under this one.
     pub fn successor_wait(&self) -> Milliseconds {
         if self.established {
-            return self.claim.times.full_wait();
+            return self.claim.times.unreported_wait();
         }
         self.unreported_wait
     }
--- a/crates/core/tests/ownership/left_out_rules.rs
+++ b/crates/core/tests/ownership/left_out_rules.rs
@@ -86,7 +86,7 @@
     // Without rule 1 a controller gives a silent holder's slices away although a higher one has
     // taken the holder over.
     let rules = SafetyRules {
-        late_round: false,
+        confirm_lapse: false,
         ..SafetyRules::default()
     };
     assert!(count_double_owners("rule 1, late round", rules) > 0);
@@ -104,7 +104,7 @@
         cluster.checker.assert_clean();
     }
     let rules = SafetyRules {
-        early_majority: false,
+        timely_majority: false,
         ..SafetyRules::default()
     };
     let broken = (0..SEEDS).filter(|seed| {
@@ -130,7 +130,7 @@
 fn sent_clock() {
     // Without rule 4 a late answer lengthens a lease beyond what the controller counts.
     let rules = SafetyRules {
-        sent_clock: false,
+        send_time: false,
         ..SafetyRules::default()
     };
     assert!(count_double_owners("rule 4, sent clock", rules) > 0);
@@ -141,7 +141,7 @@
     // With one lease time instead of two, a new controller gives away what the old one granted at
     // the end of its authority.
     let rules = SafetyRules {
-        full_wait: false,
+        double_wait: false,
         ..SafetyRules::default()
     };
     assert!(count_double_owners("rule 5, full wait", rules) > 0);
@@ -151,7 +151,7 @@
 fn named_release() {
     // Without rule 6 a repeated release frees a newer grant of the same slice.
     let rules = SafetyRules {
-        named_release: false,
+        fenced_release: false,
         ..SafetyRules::default()
     };
     assert!(count_double_owners("rule 6, named release", rules) > 0);
@@ -161,7 +161,7 @@
 fn named_lives() {
     // Without rule 7 a restarted controller acts under its old ballot and forgets its grants.
     let rules = SafetyRules {
-        named_lives: false,
+        exact_incarnation: false,
         ..SafetyRules::default()
     };
     assert!(count_double_owners("rule 7, named lives", rules) > 0);
--- a/crates/node/src/control/control_loop.rs
+++ b/crates/node/src/control/control_loop.rs
@@ -95,7 +95,7 @@
     /// Reads both streams on, where this node has to.
     fn follow_log(&mut self) {
         let now = self.parts.boundaries.clock.now();
-        let needs_intent = self.ownership.state().needs_intent(now);
+        let needs_intent = self.ownership.state().needs_intent_stream(now);
         self.intent.follow(needs_intent, &self.parts);
         self.ownership.follow(now, &self.parts);
     }
@@ -197,8 +197,8 @@
 
     fn controller_status(&self) -> Option<ControllerStatus> {
         let state = self.ownership.state();
-        let ballot = state.ballot();
-        let followed = state.followed()?;
+        let ballot = state.adopted_ballot();
+        let followed = state.followed_controller()?;
         Some(ControllerStatus {
             term: ballot.term,
             rank: ballot.rank,
--- a/crates/node/src/control/intent_sources.rs
+++ b/crates/node/src/control/intent_sources.rs
@@ -17,10 +17,10 @@
 impl IntentSources {
     /// Reads them from the state of ownership.
     pub(super) fn of(state: &Ownership) -> Self {
-        let followed = state.followed().into_iter();
+        let followed = state.followed_controller().into_iter();
         let readers = followed.chain(state.log_readers());
         Self {
-            told: state.told_intent(),
+            told: state.announced_intent(),
             readers: readers.map(|member| member.control).collect(),
         }
     }
--- a/crates/node/src/control/ownership_side.rs
+++ b/crates/node/src/control/ownership_side.rs
@@ -56,7 +56,7 @@
 
     /// Reads on while this node has to follow the stream itself.
     pub(super) fn follow(&mut self, now: Moment, parts: &ControlParts) {
-        let is_needed = self.state.needs_control(now);
+        let is_needed = self.state.needs_control_stream(now);
         self.tail.follow(is_needed, self.next, parts);
     }
 
--- a/crates/wire/tests/message_sizes.rs
+++ b/crates/wire/tests/message_sizes.rs
@@ -13,8 +13,8 @@
 use quetzalrack_core::ownership::PeerMessage;
 use quetzalrack_core::ownership::message::Acknowledgement;
 use quetzalrack_core::ownership::message::Answer;
+use quetzalrack_core::ownership::message::ControllerAnnouncement;
 use quetzalrack_core::ownership::message::Heartbeat;
-use quetzalrack_core::ownership::message::Lead;
 use quetzalrack_core::ownership::message::LoadReport;
 use quetzalrack_core::security::KeyRing;
 use quetzalrack_core::security::KeySettings;
@@ -69,11 +69,11 @@
         incarnation: LIFE,
         number: NUMBER,
         ballot: ballot(),
-        round: Some(NUMBER),
-        heard: NUMBER,
+        acked: Some(NUMBER),
+        round: NUMBER,
         held: fences(leases),
         released: Vec::new(),
-        report: None,
+        leases: None,
         profile: None,
         load: load.then_some(report),
         routing: routing(),
@@ -96,15 +96,15 @@
         incarnation: LIFE,
         number: NUMBER,
         round: NUMBER,
-        dropped: Vec::new(),
+        unrecognised: Vec::new(),
         grants: Vec::new(),
         drains: Vec::new(),
-        news: None,
+        updates: None,
     }));
-    let lead = PeerMessage::Lead(Box::new(Lead {
+    let lead = PeerMessage::ControllerAnnouncement(Box::new(ControllerAnnouncement {
         ballot: ballot(),
         round: NUMBER,
-        prompt: false,
+        request_heartbeat: false,
         term: None,
     }));
     let acknowledgement = PeerMessage::Acknowledgement(Acknowledgement {
@@ -116,6 +116,6 @@
     let messages = [answer, lead, acknowledgement];
     assert_eq!(
         messages.map(|message| sizes(&message)),
-        [(55, 150), (44, 82), (67, 122)]
+        [(55, 158), (44, 111), (67, 122)]
     );
 }
