--- a/crates/mesh/src/ownership/directory.rs
+++ b/crates/mesh/src/ownership/directory.rs
@@ -1,4 +1,4 @@
-//! What a node knows of all nodes.
+//! A node's copy of the leader's tables of members and owners.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,42 +14,44 @@
 use super::TableUpdate;
 use crate::model::KeyRange;
 
-/// Is what a node knows of another.
+/// What a node knows of one member of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DirectoryEntry {
-    /// The node's own description.
+    /// The node as it describes itself.
     pub member: Member,
-    /// Whether the leader hears it.
+    /// Whether the leader receives the node's heartbeats.
     pub responsive: bool,
-    /// Its load.
+    /// The node's load.
     pub load: LoadSummary,
 }
 
-/// Holds the tables that the leader spreads. They can be old: a node that is asked for what it can't
-/// do refuses, so that a wrong table costs time and nothing else.
+/// The tables that the leader distributes. They may be out of date: a node refuses a request that
+/// it can't serve, so an outdated table costs a retry and no correctness.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Directory {
-    /// The epoch of the versions.
+    /// The epoch that the versions belong to.
     pub epoch: Epoch,
-    /// The version of the members.
+    /// The version of the member table.
     pub members_version: u64,
-    /// The version of the owners.
+    /// The version of the table of owners.
     pub owners_version: u64,
-    /// All nodes.
+    /// All nodes, this one included.
     pub members: BTreeMap<NodeName, DirectoryEntry>,
-    /// Who owns which keys, by service.
+    /// The owner of each range of keys, by service.
     pub owners: BTreeMap<ServiceName, Vec<(KeyRange, NodeName)>>,
 }
 
 impl Directory {
-    /// Starts counting versions anew under another leader; the tables stay until it replaces them.
+    /// Resets the versions for another leader. The tables stay in use until that leader replaces
+    /// them.
     pub fn start_epoch(&mut self, epoch: Epoch) {
         self.epoch = epoch;
         self.members_version = 0;
         self.owners_version = 0;
     }
 
-    /// Returns what is known of the members, for a leader none of whose versions is known yet.
+    /// Returns the digests of all known members as long as no version of the current leader is
+    /// known, and none afterwards.
     pub fn member_digests(&self) -> Vec<MemberDigest> {
         match self.members_version {
             0 => self.members.values().map(DirectoryEntry::digest).collect(),
@@ -57,16 +59,16 @@
         }
     }
 
-    /// Takes over changes.
+    /// Applies the changes of an update.
     pub fn apply(&mut self, update: &TableUpdate) {
         self.members_version = update.members_version;
         for (member, responsive) in &update.members {
             let name = member.incarnation.node.clone();
-            let known = self.members.get(&name);
+            let previous = self.members.get(&name);
             let entry = DirectoryEntry {
                 member: member.clone(),
                 responsive: *responsive,
-                load: known.map(|known| known.load).unwrap_or_default(),
+                load: previous.map(|entry| entry.load).unwrap_or_default(),
             };
             self.members.insert(name, entry);
         }
@@ -74,8 +76,8 @@
             let all: BTreeSet<MemberDigest> = update.all_members.iter().copied().collect();
             self.members
                 .retain(|_, entry| all.contains(&entry.digest()));
-            // An order that came in between may have replaced what this one left out as known; then
-            // the leader must be told again what is known here.
+            // A reply processed in between may have replaced a member that this update left out as
+            // known. Version 0 makes the next heartbeat list the known members again.
             if self.members.len() < all.len() {
                 self.members_version = 0;
             }
@@ -95,9 +97,9 @@
 
     /// Returns the node that owns a key.
     pub fn owner(&self, service: &ServiceName, key: u16) -> Option<&NodeName> {
-        let rows = self.owners.get(service)?;
-        let place = rows.partition_point(|(keys, _)| keys.last < key);
-        let (keys, node) = rows.get(place)?;
+        let ranges = self.owners.get(service)?;
+        let index = ranges.partition_point(|(keys, _)| keys.last < key);
+        let (keys, node) = ranges.get(index)?;
         keys.contains(key).then_some(node)
     }
 
@@ -106,16 +108,16 @@
         if update.full {
             self.owners.clear();
         }
-        for owned in &update.ranges {
-            let rows = self.owners.entry(owned.service.clone()).or_default();
-            let kept = rows.drain(..).flat_map(|(keys, node)| {
-                let parts = keys.without(&owned.keys).into_iter().flatten();
+        for change in &update.ranges {
+            let ranges = self.owners.entry(change.service.clone()).or_default();
+            let unchanged = ranges.drain(..).flat_map(|(keys, node)| {
+                let parts = keys.without(&change.keys).into_iter().flatten();
                 parts.map(move |part| (part, node.clone()))
             });
-            let mut changed: Vec<(KeyRange, NodeName)> = kept.collect();
-            changed.extend(owned.node.clone().map(|node| (owned.keys, node)));
+            let mut changed: Vec<(KeyRange, NodeName)> = unchanged.collect();
+            changed.extend(change.node.clone().map(|node| (change.keys, node)));
             changed.sort();
-            *rows = changed;
+            *ranges = changed;
         }
     }
 }
--- a/crates/mesh/src/ownership/election/mod.rs
+++ b/crates/mesh/src/ownership/election/mod.rs
@@ -1,4 +1,4 @@
-//! Finding a leader, and asking to become one.
+//! The search for a leader, and the decision to claim the leadership.
 
 mod leader_search;
 
--- a/crates/mesh/src/ownership/mod.rs
+++ b/crates/mesh/src/ownership/mod.rs
@@ -1,7 +1,8 @@
-//! Who may hold which keys: one leader named through the metadata store, leases by heartbeat.
+//! Key ownership: one leader, elected through the metadata store, grants ranges of keys to backend
+//! servers under leases that heartbeats renew.
 //!
-//! The argument why two backend servers never hold a key at the same time stands in
-//! `docs/design/platform.md`; the rule that each check serves is named beside it.
+//! `docs/design/platform.md` proves that two backend servers never hold a key at the same time, and
+//! names the checks that enforce each rule.
 
 mod action;
 mod directory;
