--- a/crates/mesh/src/ownership/leader/authority.rs
+++ b/crates/mesh/src/ownership/leader/authority.rs
@@ -1,4 +1,4 @@
-//! Until when a leader may act.
+//! The leader's authority to act, and when it ends.
 
 use std::time::Duration;
 
@@ -6,111 +6,119 @@
 
 use crate::ownership::LeaseTimes;
 
-/// Follows what confirms a leadership: a majority of the voters who follow no later leader; and, if the
-/// record in the store says so, reads of the store that show no later claim.
+/// Tracks what confirms a leadership: a majority of the voters that follow no later leader and, if
+/// the record in the store allows it, reads of the store that show no later claim.
 ///
-/// A leader that is cut off from both stops by itself before a later one may give its keys away.
+/// A leader that is cut off from both stops acting before a later one may grant its keys to others.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Authority {
-    /// When the newest question to the store was sent that was answered in this leader's favour.
-    store: Moment,
-    /// The same for a majority of the voters.
-    majority: Option<Moment>,
-    /// Whether the store's word alone is enough.
-    alone: bool,
-    /// Until when leases may last that were given on the store's word.
-    store_used: Moment,
+    /// When the newest call to the store was sent whose result confirmed this leadership.
+    store_confirmed: Moment,
+    /// The newest confirmation time that a majority of the voters has reached.
+    majority_confirmed: Option<Moment>,
+    /// Whether confirmation by the store alone suffices.
+    store_suffices: bool,
+    /// When the last lease that was granted on confirmation by the store alone can end.
+    store_expiry: Moment,
 }
 
 impl Authority {
-    /// Starts from the moment at which the append that made the leader was sent.
-    pub(super) fn new(claimed: Moment) -> Self {
+    /// Starts at the moment at which the append that established the leader was sent.
+    pub(super) fn new(claimed_at: Moment) -> Self {
         Self {
-            store: claimed,
-            majority: None,
-            alone: true,
-            store_used: Moment::default(),
+            store_confirmed: claimed_at,
+            majority_confirmed: None,
+            store_suffices: true,
+            store_expiry: Moment::default(),
         }
     }
 
-    /// Starts a leader to whom the leadership was handed on: it has no authority of its own yet, and
-    /// the voters' acknowledgements count for `storeless` from `written` on.
-    pub(super) fn handed(
+    /// Creates the authority of a leader that takes over by handoff. It has no confirmation of its
+    /// own yet, and confirmations by the voters count for `store_grace` from `written_after` on.
+    pub(super) fn from_handoff(
         now: Moment,
-        written: Moment,
-        storeless: Duration,
+        written_after: Moment,
+        store_grace: Duration,
         times: &LeaseTimes,
     ) -> Self {
-        let used = times.store_grace.saturating_sub(storeless);
+        let grace_used = times.store_grace.saturating_sub(store_grace);
         Self {
-            store: written.before(used.max(times.lease)),
-            majority: None,
-            alone: false,
-            // What the leader before gave is not known here.
-            store_used: now + times.lease,
+            store_confirmed: written_after.before(grace_used.max(times.lease)),
+            majority_confirmed: None,
+            store_suffices: false,
+            // The leases that the previous leader granted are not known here.
+            store_expiry: now + times.lease,
         }
     }
 
-    /// Returns for how long the voters' acknowledgements still count without the store.
-    pub(super) fn storeless_left(&self, now: Moment, times: &LeaseTimes) -> Duration {
-        self.storeless_end(times).since(now)
+    /// Returns for how long confirmations by the voters still count without the store.
+    pub(super) fn store_grace_left(&self, now: Moment, times: &LeaseTimes) -> Duration {
+        self.store_grace_end(times).since(now)
     }
 
-    /// Learns whether the store's word alone is enough, by every record of this leader that may stand
-    /// in the store.
-    pub(super) fn set_alone(&mut self, now: Moment, alone: bool, times: &LeaseTimes) {
-        self.alone = alone;
-        if self.rests_on_store(now, times) {
-            self.store_used = self.store_used.max(self.store + times.lease);
+    /// Sets whether confirmation by the store alone suffices, according to every record of this
+    /// leader that may be in the store.
+    pub(super) fn set_store_suffices(
+        &mut self,
+        now: Moment,
+        store_suffices: bool,
+        times: &LeaseTimes,
+    ) {
+        self.store_suffices = store_suffices;
+        if self.relies_on_store(now, times) {
+            self.store_expiry = self.store_expiry.max(self.store_confirmed + times.lease);
         }
     }
 
-    /// Tells whether a majority has confirmed the leadership lately.
+    /// Tells whether a majority has confirmed the leadership recently.
     pub(super) fn has_majority(&self, now: Moment, times: &LeaseTimes) -> bool {
-        self.majority
+        self.majority_confirmed
             .is_some_and(|stamp| now.since(stamp) < times.leader_timeout)
     }
 
-    /// Tells whether a leader that acts alone may say that it needs a majority from now on: whoever
-    /// waits a lease after the majority's last word has then waited for all leases.
-    pub(super) fn can_join_majority(&self, now: Moment, times: &LeaseTimes) -> bool {
-        let covered = |stamp: Moment| stamp + times.lease >= self.store_used;
-        self.has_majority(now, times) && self.majority.is_some_and(covered)
+    /// Tells whether a leader that acts on the store alone may record that it needs a majority from
+    /// now on: a successor that waits one lease after the majority's last confirmation has then
+    /// waited for the end of all leases.
+    pub(super) fn can_require_majority(&self, now: Moment, times: &LeaseTimes) -> bool {
+        let covered = |stamp: Moment| stamp + times.lease >= self.store_expiry;
+        self.has_majority(now, times) && self.majority_confirmed.is_some_and(covered)
     }
 
-    fn rests_on_store(&self, now: Moment, times: &LeaseTimes) -> bool {
-        self.alone && !self.has_majority(now, times)
+    fn relies_on_store(&self, now: Moment, times: &LeaseTimes) -> bool {
+        self.store_suffices && !self.has_majority(now, times)
     }
 
-    /// Learns that a question which was sent at `asked` was answered in this leader's favour.
-    pub(super) fn confirm_by_store(&mut self, asked: Moment) {
-        self.store = self.store.max(asked);
+    /// Records that a call to the store, sent at `sent_at`, confirmed this leadership.
+    pub(super) fn confirm_by_store(&mut self, sent_at: Moment) {
+        self.store_confirmed = self.store_confirmed.max(sent_at);
     }
 
-    /// Learns since when a majority has confirmed the leadership.
+    /// Records the newest confirmation time that a majority of the voters has reached.
     pub(super) fn confirm_by_majority(&mut self, stamp: Option<Moment>) {
-        self.majority = stamp;
+        self.majority_confirmed = stamp;
     }
 
-    /// Returns the newest moment at which the leadership is known to have held.
-    pub(super) fn confirmed(&self, times: &LeaseTimes) -> Moment {
+    /// Returns the newest moment at which the leadership is known to have been valid.
+    pub(super) fn confirmed_at(&self, times: &LeaseTimes) -> Moment {
         let majority = self
-            .majority
-            .filter(|stamp| *stamp < self.storeless_end(times));
-        majority.map_or(self.store, |stamp| stamp.max(self.store))
+            .majority_confirmed
+            .filter(|stamp| *stamp < self.store_grace_end(times));
+        majority.map_or(self.store_confirmed, |stamp| {
+            stamp.max(self.store_confirmed)
+        })
     }
 
-    /// Returns how long the leader may act from now on.
-    pub(super) fn left(&self, now: Moment, times: &LeaseTimes) -> Duration {
-        let rests = self.rests_on_store(now, times);
-        let by_store = rests.then(|| self.store + times.lease);
-        let by_majority = self.majority.map(|stamp| stamp + times.lease);
-        let by_majority = by_majority.map(|end| end.min(self.storeless_end(times)));
+    /// Returns how much longer the leader may act.
+    pub(super) fn remaining(&self, now: Moment, times: &LeaseTimes) -> Duration {
+        let relies = self.relies_on_store(now, times);
+        let by_store = relies.then(|| self.store_confirmed + times.lease);
+        let by_majority = self.majority_confirmed.map(|stamp| stamp + times.lease);
+        let by_majority = by_majority.map(|end| end.min(self.store_grace_end(times)));
         let end = by_majority.max(by_store).unwrap_or_default();
         end.since(now).min(times.lease)
     }
 
-    fn storeless_end(&self, times: &LeaseTimes) -> Moment {
-        self.store + times.store_grace
+    fn store_grace_end(&self, times: &LeaseTimes) -> Moment {
+        self.store_confirmed + times.store_grace
     }
 }
--- a/crates/mesh/src/ownership/leader/leader_machine.rs
+++ b/crates/mesh/src/ownership/leader/leader_machine.rs
@@ -1,4 +1,4 @@
-//! The leader's state and its reaction to beats and time.
+//! The leader's state, and its reaction to heartbeats and the passage of time.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,11 +10,11 @@
 use quetzalrack_core::time::Moment;
 
 use super::authority::Authority;
-use super::ledger::Ledger;
-use super::moves::MoveClock;
+use super::key_placement::PlacementState;
 use super::peer::Peer;
-use super::publishing::Tables;
-use super::record_keeping::RecordKeeper;
+use super::publishing::PublishedTables;
+use super::range_map::RangeMap;
+use super::record_sync::RecordSync;
 use super::takeover::Takeover;
 use crate::model::FencingToken;
 use crate::model::OperatorsIntent;
@@ -28,47 +28,48 @@
 use crate::ownership::NodeIncarnation;
 use crate::ownership::PeerMessage;
 
-/// How long a leader to whom the leadership was handed may take to be confirmed: three beats of its
+/// How long a leader that took over by handoff may take to be confirmed: three heartbeats of its
 /// nodes.
-const STARTING: Duration = Duration::from_millis(1_300);
+const START_TIMEOUT: Duration = Duration::from_millis(1_300);
 
 /// The nodes that the leader knows.
 pub(in crate::ownership) type Peers = BTreeMap<NodeName, Peer>;
 
-/// Is one term of leadership; a new one starts empty.
+/// The state of one epoch of leadership. Only a handoff carries it over to another epoch.
 #[derive(Clone, Debug)]
 pub(in crate::ownership) struct Leader {
-    pub(super) me: NodeIncarnation,
+    pub(super) own_incarnation: NodeIncarnation,
     pub(super) times: LeaseTimes,
     pub(super) record: LeaderRecord,
     pub(super) authority: Authority,
-    /// Gone once all keys are accounted for.
+    /// Present until all keys are accounted for.
     pub(super) takeover: Option<Takeover>,
-    pub(super) keeper: RecordKeeper,
+    pub(super) record_sync: RecordSync,
     pub(super) peers: Peers,
-    pub(super) ledgers: BTreeMap<ServiceName, Ledger>,
-    pub(super) clocks: BTreeMap<ServiceName, MoveClock>,
-    pub(super) fence: FencingToken,
-    pub(super) tables: Tables,
+    pub(super) range_maps: BTreeMap<ServiceName, RangeMap>,
+    pub(super) placements: BTreeMap<ServiceName, PlacementState>,
+    pub(super) last_fence: FencingToken,
+    pub(super) tables: PublishedTables,
     pub(super) intent: OperatorsIntent,
-    /// Up to when that holds all that was acknowledged.
-    pub(super) confirmed: Moment,
-    /// When the leadership was handed to this leader, until it has an authority of its own.
-    pub(super) starting: Option<Moment>,
-    /// Nodes whose servers were granted keys, and that have not been told to ask for them yet.
-    pub(super) prompted: BTreeSet<NodeName>,
-    /// Decisions for the log: what, and the inputs.
-    pub(super) notes: Vec<(&'static str, String)>,
+    /// The time up to which `intent` contains everything that was acknowledged.
+    pub(super) intent_confirmed: Moment,
+    /// When the leadership was handed over to this leader; none once it has authority of its own.
+    pub(super) starting_since: Option<Moment>,
+    /// Nodes whose servers were granted keys and that are still to be asked for a heartbeat, whose
+    /// reply delivers the grant.
+    pub(super) heartbeat_requests: BTreeSet<NodeName>,
+    /// Decisions to log: the event, and the inputs that decided it.
+    pub(super) log_entries: Vec<(&'static str, String)>,
 }
 
-/// Is what a node knows when its claim has succeeded.
+/// A claim of the leadership, and what its node needs once the claim has succeeded.
 #[derive(Clone, Debug)]
 pub(in crate::ownership) struct LeaderClaim {
-    /// The record that now stands in the store.
+    /// The record that the claim appends.
     pub(in crate::ownership) record: LeaderRecord,
-    /// The one before it.
+    /// The record before it.
     pub(in crate::ownership) previous: Option<LeaderRecord>,
-    /// Where the topic ends with it.
+    /// Where the topic ends after the claim.
     pub(in crate::ownership) topic_end: u64,
     /// When the claim was sent.
     pub(in crate::ownership) sent_at: Moment,
@@ -82,22 +83,22 @@
         intent: OperatorsIntent,
         times: LeaseTimes,
     ) -> Self {
-        let mut leader = Self::bare(now, claim.record, directory, intent, times);
+        let mut leader = Self::from_directory(now, claim.record, directory, intent, times);
         leader.authority = Authority::new(claim.sent_at);
         leader.takeover = Some(Takeover::new(now, claim.previous));
-        leader.keeper = RecordKeeper::new(now, claim.topic_end);
+        leader.record_sync = RecordSync::new(now, claim.topic_end);
         leader
     }
 
-    /// Makes a leader that knows only the nodes.
-    pub(super) fn bare(
+    /// Creates a leader that knows only the nodes of the directory.
+    pub(super) fn from_directory(
         now: Moment,
         record: LeaderRecord,
         directory: &Directory,
         intent: OperatorsIntent,
         times: LeaseTimes,
     ) -> Self {
-        let mut tables = Tables::default();
+        let mut tables = PublishedTables::default();
         let known = directory.members.values().map(|entry| {
             let changed = tables.next_version();
             let peer = Peer::from_table(now, entry.member.clone(), changed);
@@ -105,36 +106,36 @@
         });
         let peers = known.collect();
         Self {
-            me: record.leader.clone(),
+            own_incarnation: record.leader.clone(),
             times,
             authority: Authority::new(now),
             takeover: None,
-            keeper: RecordKeeper::new(now, 0),
-            fence: FencingToken::first_of(record.epoch.0),
+            record_sync: RecordSync::new(now, 0),
+            last_fence: FencingToken::first_of(record.epoch.0),
             record,
             peers,
-            ledgers: BTreeMap::new(),
-            clocks: BTreeMap::new(),
+            range_maps: BTreeMap::new(),
+            placements: BTreeMap::new(),
             tables,
             intent,
-            confirmed: Moment::default(),
-            starting: None,
-            prompted: BTreeSet::new(),
-            notes: Vec::new(),
+            intent_confirmed: Moment::default(),
+            starting_since: None,
+            heartbeat_requests: BTreeSet::new(),
+            log_entries: Vec::new(),
         }
     }
 
-    /// Tells whether the leader may not act any more; it never may again in this epoch.
+    /// Tells whether the leader may no longer act; it never may again in this epoch.
     pub(in crate::ownership) fn has_lapsed(&self, now: Moment) -> bool {
         let starting = self
-            .starting
-            .is_some_and(|since| now.since(since) < STARTING);
-        !starting && self.authority.left(now, &self.times).is_zero()
+            .starting_since
+            .is_some_and(|since| now.since(since) < START_TIMEOUT);
+        !starting && self.authority.remaining(now, &self.times).is_zero()
     }
 
     /// Takes the decisions that are to be logged.
     pub(in crate::ownership) fn take_notes(&mut self) -> Vec<(&'static str, String)> {
-        std::mem::take(&mut self.notes)
+        std::mem::take(&mut self.log_entries)
     }
 
     pub(in crate::ownership) fn record(&self) -> &LeaderRecord {
@@ -145,34 +146,34 @@
         self.intent = intent;
     }
 
-    /// Learns up to when the intent holds all that was acknowledged.
+    /// Sets the time up to which the intent contains everything that was acknowledged.
     pub(in crate::ownership) fn set_intent_confirmed(&mut self, at: Moment) {
-        self.confirmed = at;
+        self.intent_confirmed = at;
     }
 
-    /// Takes one beat and answers it.
+    /// Handles a node's heartbeat and replies to it.
     pub(in crate::ownership) fn handle_heartbeat(
         &mut self,
         now: Moment,
         from: SocketAddr,
-        beat: &NodeHeartbeat,
+        heartbeat: &NodeHeartbeat,
         actions: &mut Vec<Action>,
     ) {
-        let node = beat.member.incarnation.node.clone();
-        let late = self.peers.get(&node).is_some_and(|peer| {
-            peer.member.incarnation == beat.member.incarnation && beat.sequence <= peer.sequence
+        let node = heartbeat.member.incarnation.node.clone();
+        let outdated = self.peers.get(&node).is_some_and(|peer| {
+            peer.member.incarnation == heartbeat.member.incarnation
+                && heartbeat.sequence <= peer.sequence
         });
-        if beat.epoch != self.record.epoch || late {
+        if heartbeat.epoch != self.record.epoch || outdated {
             return;
         }
-        let current = self.learn(now, &node, beat);
-        // This one is told with the answer.
-        self.prompted.remove(&node);
-        self.prompt(actions);
-        let lease = self.authority.left(now, &self.times);
-        // A leader without authority grants nothing, but a new one needs its orders repeated to get
-        // any.
-        if lease.is_zero() && self.starting.is_none() {
+        let current = self.apply_heartbeat(now, &node, heartbeat);
+        // The reply delivers the grants of this node.
+        self.heartbeat_requests.remove(&node);
+        self.request_heartbeats(actions);
+        let lease = self.authority.remaining(now, &self.times);
+        // Without authority only a new leader replies: it gains authority by acknowledged replies.
+        if lease.is_zero() && self.starting_since.is_none() {
             return;
         }
         let assignment = match current && !lease.is_zero() {
@@ -180,91 +181,92 @@
             false => None,
         };
         if assignment.is_some() {
-            self.extend(now, &node);
+            self.extend_leases(now, &node);
         }
-        let order = LeaderReply {
+        let reply = LeaderReply {
             epoch: self.record.epoch,
-            leader: self.me.clone(),
-            incarnation: beat.member.incarnation.nonce,
-            sequence: beat.sequence,
+            leader: self.own_incarnation.clone(),
+            incarnation: heartbeat.member.incarnation.nonce,
+            sequence: heartbeat.sequence,
             sent_at: now.0,
             lease: milliseconds(lease),
-            grants_pending: !current || self.expects(&node),
+            grants_pending: !current || self.expects_keys(&node),
             assignment,
-            update: self.update_for(beat),
+            update: self.update_for(heartbeat),
             intent_offset: self.intent.offset,
-            // Rounded up, so that nobody takes the word for newer than it is.
-            intent_age: milliseconds(now.since(self.confirmed)).saturating_add(1),
+            // Rounded up, so that no node takes the intent for more recent than it is.
+            intent_age: milliseconds(now.since(self.intent_confirmed)).saturating_add(1),
         };
-        if beat.intent_offset > self.intent.offset {
-            actions.push(Action::FetchIntent(beat.member.traffic));
+        if heartbeat.intent_offset > self.intent.offset {
+            actions.push(Action::FetchIntent(heartbeat.member.traffic));
         }
-        actions.push(Action::Send(from, PeerMessage::Reply(Box::new(order))));
+        actions.push(Action::Send(from, PeerMessage::Reply(Box::new(reply))));
     }
 
-    /// Takes over what a beat says, if it comes from the process that speaks for its node; tells whether
-    /// it does.
-    fn learn(&mut self, now: Moment, node: &NodeName, beat: &NodeHeartbeat) -> bool {
+    /// Applies a heartbeat if it comes from the node's current incarnation, and tells whether it
+    /// does.
+    fn apply_heartbeat(&mut self, now: Moment, node: &NodeName, heartbeat: &NodeHeartbeat) -> bool {
         let peer = self.peers.get_mut(node);
-        let current = peer.is_none_or(|peer| peer.is_current(now, beat));
+        let current = peer.is_none_or(|peer| peer.is_current(now, heartbeat));
         if current {
-            self.note_beat(now, node, beat);
+            self.record_heartbeat(now, node, heartbeat);
         }
         self.update_authority(now);
         if current {
-            self.settle_rows(now, node, beat);
-            self.outbid(node, beat);
-            self.account(now);
-            self.place(now);
+            self.update_ranges(now, node, heartbeat);
+            self.replace_stale_grants(node, heartbeat);
+            self.account_for_grants(now);
+            self.place_keys(now);
         }
-        self.lapse(now);
+        self.expire_leases(now);
         current
     }
 
-    /// Does what time asks for.
+    /// Performs the work that depends on time.
     pub(in crate::ownership) fn tick(&mut self, now: Moment, actions: &mut Vec<Action>) {
         self.update_authority(now);
-        self.lapse(now);
-        self.account(now);
-        self.place(now);
-        self.prompt(actions);
-        self.note_silence(now);
-        self.keep_record(now, actions);
-        self.call_silent(now, actions);
+        self.expire_leases(now);
+        self.account_for_grants(now);
+        self.place_keys(now);
+        self.request_heartbeats(actions);
+        self.expire_silent_peers(now);
+        self.sync_record(now, actions);
+        self.contact_silent_peers(now, actions);
     }
 
-    fn note_beat(&mut self, now: Moment, node: &NodeName, beat: &NodeHeartbeat) {
+    fn record_heartbeat(&mut self, now: Moment, node: &NodeName, heartbeat: &NodeHeartbeat) {
         let peer = self.peers.entry(node.clone()).or_insert_with(|| {
-            let mut peer = Peer::from_table(now, beat.member.clone(), 0);
-            peer.told_heard = false;
+            let mut peer = Peer::from_table(now, heartbeat.member.clone(), 0);
+            peer.published_responsive = false;
             peer
         });
-        if peer.hear(now, beat) {
-            peer.changed = self.tables.next_version();
+        if peer.record_heartbeat(now, heartbeat) {
+            peer.change_version = self.tables.next_version();
         }
     }
 
     fn update_authority(&mut self, now: Moment) {
         if let Some(takeover) = &mut self.takeover {
-            takeover.note_majority(now, &self.peers, &self.times);
+            takeover.update_majority(now, &self.peers, &self.times);
         }
-        let stamp = self.keeper.majority_stamp(&self.record, &self.peers);
+        let stamp = self.record_sync.majority_stamp(&self.record, &self.peers);
         self.authority.confirm_by_majority(stamp);
-        let alone = self.record.store_suffices && self.keeper.allows_alone();
-        self.authority.set_alone(now, alone, &self.times);
-        if !self.authority.left(now, &self.times).is_zero() {
-            self.starting = None;
+        let store_suffices = self.record.store_suffices && self.record_sync.allows_store_alone();
+        self.authority
+            .set_store_suffices(now, store_suffices, &self.times);
+        if !self.authority.remaining(now, &self.times).is_zero() {
+            self.starting_since = None;
         }
     }
 
-    /// Returns the members that this leader hears, for the directory of its own node.
+    /// Returns the members whose heartbeats this leader receives.
     pub(in crate::ownership) fn responsive_members(
         &self,
         now: Moment,
     ) -> impl Iterator<Item = &Member> {
         self.peers
             .values()
-            .filter(move |peer| peer.is_heard(now))
+            .filter(move |peer| peer.is_responsive(now))
             .map(|peer| &peer.member)
     }
 }
--- a/crates/mesh/src/ownership/leader/mod.rs
+++ b/crates/mesh/src/ownership/leader/mod.rs
@@ -1,21 +1,21 @@
-//! What the leader does: it accounts for all keys, places them and renews leases.
+//! The leader: it accounts for all keys, places them and renews their leases.
 
-mod assigning;
+mod assignments;
 mod authority;
-mod calling;
 mod candidates;
-mod handing;
+mod handoff;
+mod key_placement;
 mod leader_machine;
-mod ledger;
-mod leveling;
-mod moves;
 mod owners_log;
 mod peer;
 mod publishing;
-mod record_keeping;
-mod row;
-mod settling;
+mod range_entry;
+mod range_map;
+mod range_updates;
+mod rebalancing;
+mod record_sync;
 mod takeover;
+mod unsolicited;
 
 pub(super) use leader_machine::Leader;
 pub(super) use leader_machine::LeaderClaim;
--- a/crates/mesh/src/ownership/leader/peer.rs
+++ b/crates/mesh/src/ownership/leader/peer.rs
@@ -13,180 +13,189 @@
 use crate::ownership::NodeIncarnation;
 use crate::ownership::NodeLoad;
 
-/// How long a node may be silent before others are told to avoid it: three of its beats.
-const SILENT: Duration = Duration::from_millis(1_300);
+/// How long a node may be silent before others are told to avoid it: three of its heartbeats.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_300);
 
-/// The weight of a beat's load in the mean: that of one moment says little, and two seconds of full
-/// load show.
-const FILL_WEIGHT: f64 = 0.2;
+/// The weight of a heartbeat's utilization in the moving average: one sample says little, but two
+/// seconds of full load have to show.
+const UTILIZATION_WEIGHT: f64 = 0.2;
 
-/// The weight of a beat's time for a request: other work on the server's host triples it for tenths
-/// of a second, which is no reason to move keys.
-const PACE_WEIGHT: f64 = 0.08;
+/// The weight of a heartbeat's service time in the moving average: other work on the server's host
+/// triples it for tenths of a second, which is no reason to move keys.
+const SERVICE_TIME_WEIGHT: f64 = 0.08;
 
-/// Is a node as its beats describe it.
+/// A node as its heartbeats describe it.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub(super) member: Member,
-    /// Another process that speaks for the node, and since when; it has not proved yet that it lives.
-    newcomer: Option<(NodeIncarnation, Moment)>,
-    /// The newest beat's number; earlier ones are late and count for nothing.
+    /// Another incarnation that sends heartbeats for the node, and when its first one arrived. It
+    /// has not yet proved that it still runs.
+    new_incarnation: Option<(NodeIncarnation, Moment)>,
+    /// The sequence number of the newest heartbeat; earlier ones arrived late and are ignored.
     pub(super) sequence: u64,
-    /// When it was last heard; none if it is known only from an earlier leader.
-    pub(super) heard_at: Option<Moment>,
-    /// When it became known.
-    pub(super) known_at: Moment,
-    /// Whether others have been told that it is heard.
-    pub(super) told_heard: bool,
-    /// The stamp of the newest order that it has applied.
-    pub(super) applied: Option<Moment>,
-    /// The newest stamp with which it confirmed the leadership.
-    pub(super) vouched: Option<Moment>,
-    /// When it last obeyed an earlier leader, at the latest; none until it has obeyed this one.
-    pub(super) obeyed_other: Option<Moment>,
-    /// Before this moment its lease has surely not ended; none if it has none from before.
+    /// When the last heartbeat arrived; none if the node is known only from an earlier leader.
+    pub(super) last_heartbeat: Option<Moment>,
+    /// When the node was added.
+    pub(super) added_at: Moment,
+    /// Whether the member table that others receive lists the node as responsive.
+    pub(super) published_responsive: bool,
+    /// The sending time of the newest reply that the node has applied.
+    pub(super) applied_reply: Option<Moment>,
+    /// The newest sending time of a reply with which the node confirmed the leadership.
+    pub(super) confirmed_at: Option<Moment>,
+    /// The latest moment at which the node can have obeyed an earlier leader; none until it has
+    /// obeyed this one.
+    pub(super) obeyed_previous: Option<Moment>,
+    /// The earliest moment at which the lease that the node reported can end; none if it reported
+    /// none.
     pub(super) lease_end: Option<Moment>,
-    /// Whether all that its backend server may hold is known.
-    pub(super) known: bool,
+    /// Whether the node has reported everything that its backend server may hold.
+    pub(super) holding_complete: bool,
     pub(super) holding: Vec<HeldRange>,
-    /// What earlier lives of its server were granted; the present one may hold it and may not keep it.
-    pub(super) leftover: Vec<HeldRange>,
+    /// What earlier incarnations of its server were granted; the current one may hold it but must
+    /// not keep it.
+    pub(super) earlier_grants: Vec<HeldRange>,
     pub(super) load: NodeLoad,
-    /// How full its server was over the last seconds, as a share of its slots.
-    pub(super) fill: f64,
-    /// How long a request took at its server over the last seconds, in seconds; 0 if not known.
-    pub(super) pace: f64,
+    /// The average utilization of its server's slots over the last seconds, as a share of one.
+    pub(super) utilization: f64,
+    /// The average service time of its server over the last seconds, in seconds; 0 if unknown.
+    pub(super) service_time: f64,
     pub(super) key_loads: Vec<KeyLoad>,
-    /// When its server sent its last heartbeat, by the node's word.
-    pub(super) heartbeat_at: Moment,
-    /// The version of the member table that this entry's last change made.
-    pub(super) changed: u64,
-    pub(super) intent: u64,
+    /// When its server sent the last heartbeat, as the node reports it.
+    pub(super) server_heartbeat: Moment,
+    /// The version of the member table in which this entry last changed.
+    pub(super) change_version: u64,
+    pub(super) intent_offset: u64,
 }
 
 impl Peer {
-    /// Makes a node that is known from an earlier leader's table only.
-    pub(super) fn from_table(now: Moment, member: Member, changed: u64) -> Self {
+    /// Creates a node that is known only from an earlier leader's table.
+    pub(super) fn from_table(now: Moment, member: Member, change_version: u64) -> Self {
         Self {
             member,
-            newcomer: None,
+            new_incarnation: None,
             sequence: 0,
-            heard_at: None,
-            known_at: now,
-            told_heard: true,
-            applied: None,
-            vouched: None,
-            obeyed_other: None,
+            last_heartbeat: None,
+            added_at: now,
+            published_responsive: true,
+            applied_reply: None,
+            confirmed_at: None,
+            obeyed_previous: None,
             lease_end: None,
-            known: false,
+            holding_complete: false,
             holding: Vec::new(),
-            leftover: Vec::new(),
+            earlier_grants: Vec::new(),
             load: NodeLoad::default(),
-            fill: 0.0,
-            pace: 0.0,
+            utilization: 0.0,
+            service_time: 0.0,
             key_loads: Vec::new(),
-            heartbeat_at: now,
-            changed,
-            intent: 0,
+            server_heartbeat: now,
+            change_version,
+            intent_offset: 0,
         }
     }
 
-    /// Tells whether a beat comes from the process that speaks for this node now.
+    /// Tells whether a heartbeat comes from the node's current incarnation.
     ///
-    /// A beat of an earlier process may come seconds late, after the node and its server have started
-    /// again. Taken for the newest word it would say that the server is another one and holds nothing,
-    /// and its keys would be given to a second holder. So another process speaks for the node only
-    /// once it has applied an order that this leader sent after it had first heard of it: one that is
-    /// gone can't.
-    pub(super) fn is_current(&mut self, now: Moment, beat: &NodeHeartbeat) -> bool {
-        let life = &beat.member.incarnation;
-        if self.heard_at.is_none() || self.member.incarnation == *life {
+    /// A heartbeat of an earlier incarnation can arrive seconds late, after the node and its server
+    /// have restarted. If it counted as the newest, it would report another server that holds
+    /// nothing, and the leader would grant the keys to a second holder. Another incarnation is
+    /// therefore accepted only once it has applied a reply that this leader sent after the first
+    /// heartbeat from it had arrived, which an incarnation that has ended can't do.
+    pub(super) fn is_current(&mut self, now: Moment, heartbeat: &NodeHeartbeat) -> bool {
+        let incarnation = &heartbeat.member.incarnation;
+        if self.last_heartbeat.is_none() || self.member.incarnation == *incarnation {
             return true;
         }
-        match &self.newcomer {
-            Some((known, since)) if known == life => {
-                let current = beat.applied_reply.is_some_and(|stamp| stamp >= since.0);
+        match &self.new_incarnation {
+            Some((known, since)) if known == incarnation => {
+                let current = heartbeat
+                    .applied_reply
+                    .is_some_and(|sent_at| sent_at >= since.0);
                 if current {
-                    self.newcomer = None;
+                    self.new_incarnation = None;
                 }
                 current
             }
             _ => {
-                self.newcomer = Some((life.clone(), now));
+                self.new_incarnation = Some((incarnation.clone(), now));
                 false
             }
         }
     }
 
-    /// Takes over a beat; tells whether others must learn of a change.
-    pub(super) fn hear(&mut self, now: Moment, beat: &NodeHeartbeat) -> bool {
-        let changed = self.member != beat.member || !self.told_heard;
-        if self.member.incarnation != beat.member.incarnation {
-            self.vouched = None;
+    /// Applies a heartbeat, and tells whether other nodes must learn of a change.
+    pub(super) fn record_heartbeat(&mut self, now: Moment, heartbeat: &NodeHeartbeat) -> bool {
+        let changed = self.member != heartbeat.member || !self.published_responsive;
+        if self.member.incarnation != heartbeat.member.incarnation {
+            self.confirmed_at = None;
         }
-        self.member = beat.member.clone();
-        self.sequence = beat.sequence;
-        self.heard_at = Some(now);
-        self.told_heard = true;
-        self.applied = beat.applied_reply.map(Moment);
-        let quiet = Duration::from_millis(u64::from(beat.prior_age));
-        self.obeyed_other = self.applied.map(|_| now.before(quiet));
-        if beat.confirms {
-            self.vouched = self.applied.max(self.vouched);
+        self.member = heartbeat.member.clone();
+        self.sequence = heartbeat.sequence;
+        self.last_heartbeat = Some(now);
+        self.published_responsive = true;
+        self.applied_reply = heartbeat.applied_reply.map(Moment);
+        let prior_age = Duration::from_millis(u64::from(heartbeat.prior_age));
+        self.obeyed_previous = self.applied_reply.map(|_| now.before(prior_age));
+        if heartbeat.confirms {
+            self.confirmed_at = self.applied_reply.max(self.confirmed_at);
         }
-        let left = Duration::from_millis(u64::from(beat.lease_left));
+        let lease_left = Duration::from_millis(u64::from(heartbeat.lease_left));
         self.lease_end = self
-            .applied
-            .filter(|_| beat.lease_left > 0)
-            .map(|stamp| stamp + left);
-        self.known = beat.holding_complete;
-        self.holding.clone_from(&beat.holding);
-        self.leftover.clone_from(&beat.earlier_grants);
-        self.load = beat.load;
-        self.fill += (beat.load.utilization() - self.fill) * FILL_WEIGHT;
-        let pace = f64::from(beat.load.request_ms) / 1_000.0;
-        match self.pace > 0.0 {
-            true => self.pace += (pace - self.pace) * PACE_WEIGHT,
-            false => self.pace = pace,
+            .applied_reply
+            .filter(|_| heartbeat.lease_left > 0)
+            .map(|sent_at| sent_at + lease_left);
+        self.holding_complete = heartbeat.holding_complete;
+        self.holding.clone_from(&heartbeat.holding);
+        self.earlier_grants.clone_from(&heartbeat.earlier_grants);
+        self.load = heartbeat.load;
+        self.utilization += (heartbeat.load.utilization() - self.utilization) * UTILIZATION_WEIGHT;
+        let service_time = f64::from(heartbeat.load.request_ms) / 1_000.0;
+        match self.service_time > 0.0 {
+            true => self.service_time += (service_time - self.service_time) * SERVICE_TIME_WEIGHT,
+            false => self.service_time = service_time,
         }
-        if !beat.key_loads.is_empty() {
-            self.key_loads.clone_from(&beat.key_loads);
+        if !heartbeat.key_loads.is_empty() {
+            self.key_loads.clone_from(&heartbeat.key_loads);
         }
-        self.heartbeat_at = now.before(Duration::from_millis(u64::from(beat.heartbeat_age)));
-        self.intent = beat.intent_offset;
+        self.server_heartbeat =
+            now.before(Duration::from_millis(u64::from(heartbeat.heartbeat_age)));
+        self.intent_offset = heartbeat.intent_offset;
         changed
     }
 
     /// Tells whether its server may hold some of these keys, as far as reported.
     pub(super) fn may_hold(&self, keys: &KeyRange) -> bool {
-        let mut held = self.holding.iter().chain(&self.leftover);
+        let mut held = self.holding.iter().chain(&self.earlier_grants);
         held.any(|held| held.keys.common(keys).is_some())
     }
 
-    /// Returns the digest of what others are told of it.
+    /// Returns the digest of what other nodes are told about it.
     pub(super) fn digest(&self) -> MemberDigest {
-        MemberDigest::of(&self.member, self.told_heard)
+        MemberDigest::of(&self.member, self.published_responsive)
     }
 
-    /// Tells whether the node spoke lately.
-    pub(super) fn is_heard(&self, now: Moment) -> bool {
-        self.heard_at.is_some_and(|at| now.since(at) < SILENT)
+    /// Tells whether a heartbeat of the node arrived recently.
+    pub(super) fn is_responsive(&self, now: Moment) -> bool {
+        self.last_heartbeat
+            .is_some_and(|at| now.since(at) < SILENCE_TIMEOUT)
     }
 
-    /// Tells whether others should be told that it has fallen silent.
-    pub(super) fn fell_silent(&self, now: Moment) -> bool {
-        let last = self.heard_at.unwrap_or(self.known_at);
-        self.told_heard && now.since(last) >= SILENT
+    /// Tells whether other nodes have still to be told that this one is silent.
+    pub(super) fn became_silent(&self, now: Moment) -> bool {
+        let last = self.last_heartbeat.unwrap_or(self.added_at);
+        self.published_responsive && now.since(last) >= SILENCE_TIMEOUT
     }
 
-    /// Returns since when the node is silent.
-    pub(super) fn last_word(&self) -> Moment {
-        self.heard_at.unwrap_or(self.known_at)
+    /// Returns when the node was last known to be running.
+    pub(super) fn silent_since(&self) -> Moment {
+        self.last_heartbeat.unwrap_or(self.added_at)
     }
 
-    /// Tells whether everything that its backend server holds is known, from beats of a process that
-    /// has applied an order of this leader and so was alive when that was sent.
-    pub(super) fn is_accounted(&self) -> bool {
-        self.applied.is_some() && self.known
+    /// Tells whether everything that its backend server holds is known, from heartbeats of an
+    /// incarnation that has applied a reply of this leader and so was running when the reply was
+    /// sent.
+    pub(super) fn is_accounted_for(&self) -> bool {
+        self.applied_reply.is_some() && self.holding_complete
     }
 }
--- a/crates/mesh/src/ownership/leader/publishing.rs
+++ b/crates/mesh/src/ownership/leader/publishing.rs
@@ -1,4 +1,4 @@
-//! Spreading what the leader knows.
+//! Distributes the tables of members and owners.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,23 +16,23 @@
 use crate::ownership::OwnedRange;
 use crate::ownership::TableUpdate;
 
-/// How many members one order carries; more would not fit into a datagram of usual size.
-const MOST_MEMBERS: usize = 16;
-/// How long a silent node stays in the table: longer than a restart or a store outage, since the
-/// leader calls nodes that it knows.
-const FORGET: Duration = Duration::from_secs(30);
-/// How many removed nodes are remembered for those whose tables are old.
-const REMOVED_KEPT: usize = 256;
+/// The number of members in one reply; more would not fit into a datagram of usual size.
+const MAX_REPLY_MEMBERS: usize = 16;
+/// How long a silent node stays in the table: longer than a restart or an outage of the store,
+/// since the leader contacts the nodes that it knows.
+const PEER_RETENTION: Duration = Duration::from_secs(30);
+/// The number of removed nodes that are remembered for nodes with an old table.
+const MAX_REMOVED_NODES: usize = 256;
 
-/// Counts the versions of the tables.
+/// The tables that are distributed, and their versions.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Tables {
+pub(super) struct PublishedTables {
     version: u64,
     removed: Vec<(u64, NodeName)>,
     owners: OwnersLog,
 }
 
-impl Tables {
+impl PublishedTables {
     pub(super) fn next_version(&mut self) -> u64 {
         self.version += 1;
         self.version
@@ -40,30 +40,35 @@
 }
 
 impl Leader {
-    /// Returns what a node that sent this beat lacks of the tables.
-    pub(super) fn update_for(&mut self, beat: &NodeHeartbeat) -> TableUpdate {
+    /// Returns the changes of the tables that the sender of a heartbeat lacks.
+    pub(super) fn update_for(&mut self, heartbeat: &NodeHeartbeat) -> TableUpdate {
         let owned = self.owned_ranges();
         self.tables.owners.set(owned);
         let owners = match self.takeover {
             Some(_) => None,
-            None => self.tables.owners.since(beat.owners_version),
+            None => self.tables.owners.since(heartbeat.owners_version),
         };
-        let members = match beat.members_version {
-            0 => self.members_for_new(&beat.member_digests),
-            table => self.members_since(table),
+        let members = match heartbeat.members_version {
+            0 => self.missing_members(&heartbeat.member_digests),
+            version => self.members_since(version),
         };
         TableUpdate { owners, ..members }
     }
 
-    /// Returns what a node lacks that had none of this leader's versions, by what it knows.
-    fn members_for_new(&self, known: &[MemberDigest]) -> TableUpdate {
+    /// Returns the members that a node lacks which has none of this leader's versions, given the
+    /// digests of those it knows.
+    fn missing_members(&self, known: &[MemberDigest]) -> TableUpdate {
         let known: BTreeSet<MemberDigest> = known.iter().copied().collect();
         let lacks = |peer: &&Peer| !known.contains(&peer.digest());
-        let mut missing: Vec<(Member, bool)> =
-            self.peers.values().filter(lacks).map(told).collect();
-        if missing.len() > MOST_MEMBERS {
-            // It says in its next beat that it has these.
-            missing.truncate(MOST_MEMBERS);
+        let mut missing: Vec<(Member, bool)> = self
+            .peers
+            .values()
+            .filter(lacks)
+            .map(member_entry)
+            .collect();
+        if missing.len() > MAX_REPLY_MEMBERS {
+            // The node's next heartbeat lists these as known.
+            missing.truncate(MAX_REPLY_MEMBERS);
             return TableUpdate {
                 members: missing,
                 ..TableUpdate::default()
@@ -78,25 +83,25 @@
         }
     }
 
-    fn members_since(&self, table: u64) -> TableUpdate {
+    fn members_since(&self, since: u64) -> TableUpdate {
         let mut changed: Vec<&Peer> = self
             .peers
             .values()
-            .filter(|peer| peer.changed > table)
+            .filter(|peer| peer.change_version > since)
             .collect();
-        changed.sort_by_key(|peer| peer.changed);
-        let whole = changed.len() <= MOST_MEMBERS;
-        changed.truncate(MOST_MEMBERS);
+        changed.sort_by_key(|peer| peer.change_version);
+        let complete = changed.len() <= MAX_REPLY_MEMBERS;
+        changed.truncate(MAX_REPLY_MEMBERS);
         let removed = self.tables.removed.iter();
-        let gone = removed.filter(|(version, _)| *version > table);
+        let expired = removed.filter(|(version, _)| *version > since);
         TableUpdate {
-            members_version: match whole {
+            members_version: match complete {
                 true => self.tables.version,
-                false => changed.last().map_or(table, |peer| peer.changed),
+                false => changed.last().map_or(since, |peer| peer.change_version),
             },
-            members: changed.into_iter().map(told).collect(),
-            removed: gone.map(|(_, node)| node.clone()).collect(),
-            loads: match whole {
+            members: changed.into_iter().map(member_entry).collect(),
+            removed: expired.map(|(_, node)| node.clone()).collect(),
+            loads: match complete {
                 true => self.loads(),
                 false => Vec::new(),
             },
@@ -108,50 +113,51 @@
         self.peers.values().map(|peer| peer.load.into()).collect()
     }
 
-    /// Notes who has fallen silent, and forgets who has been silent for long.
-    pub(super) fn note_silence(&mut self, now: Moment) {
+    /// Lists nodes that became silent as such, and removes those that have been silent for long.
+    pub(super) fn expire_silent_peers(&mut self, now: Moment) {
         for peer in self.peers.values_mut() {
-            if peer.fell_silent(now) {
-                peer.told_heard = false;
-                peer.changed = self.tables.next_version();
+            if peer.became_silent(now) {
+                peer.published_responsive = false;
+                peer.change_version = self.tables.next_version();
             }
         }
-        let gone = self
+        let expired = self
             .peers
             .iter()
-            .filter(|(_, peer)| now.since(peer.last_word()) >= FORGET);
-        let gone: Vec<NodeName> = gone.map(|(node, _)| node.clone()).collect();
-        for node in gone {
+            .filter(|(_, peer)| now.since(peer.silent_since()) >= PEER_RETENTION);
+        let expired: Vec<NodeName> = expired.map(|(node, _)| node.clone()).collect();
+        for node in expired {
             self.peers.remove(&node);
             let version = self.tables.next_version();
             self.tables.removed.push((version, node));
         }
-        let extra = self.tables.removed.len().saturating_sub(REMOVED_KEPT);
+        let extra = self.tables.removed.len().saturating_sub(MAX_REMOVED_NODES);
         self.tables.removed.drain(..extra);
     }
 
-    /// Returns who owns which keys; neighbours of one owner as one range.
+    /// Returns the owners of all keys, with adjacent ranges of one owner merged.
     fn owned_ranges(&self) -> Vec<OwnedRange> {
         let mut owners: Vec<OwnedRange> = Vec::new();
-        for (service, ledger) in &self.ledgers {
-            for row in ledger.rows() {
-                // A server that is to release a range serves it until its next heartbeat is answered;
-                // sent elsewhere, or nowhere, its requests would wait a second for nothing.
-                let Some(tenure) = row.state.tenure() else {
+        for (service, range_map) in &self.range_maps {
+            for entry in range_map.entries() {
+                // A server that is to release a range serves it until its next heartbeat is
+                // answered. Requests that are sent elsewhere, or nowhere, would wait a second for
+                // nothing.
+                let Some(lease) = entry.state.lease() else {
                     continue;
                 };
                 match owners.last_mut() {
                     Some(last)
-                        if last.node.as_ref() == Some(&tenure.node)
+                        if last.node.as_ref() == Some(&lease.node)
                             && last.service == *service
-                            && u32::from(last.keys.last) + 1 == u32::from(row.keys.first) =>
+                            && u32::from(last.keys.last) + 1 == u32::from(entry.keys.first) =>
                     {
-                        last.keys.last = row.keys.last;
+                        last.keys.last = entry.keys.last;
                     }
                     _ => owners.push(OwnedRange {
                         service: service.clone(),
-                        keys: row.keys,
-                        node: Some(tenure.node.clone()),
+                        keys: entry.keys,
+                        node: Some(lease.node.clone()),
                     }),
                 }
             }
@@ -160,6 +166,6 @@
     }
 }
 
-fn told(peer: &Peer) -> (Member, bool) {
-    (peer.member.clone(), peer.told_heard)
+fn member_entry(peer: &Peer) -> (Member, bool) {
+    (peer.member.clone(), peer.published_responsive)
 }
--- a/crates/mesh/src/ownership/leader/calling.rs
+++ b/crates/mesh/src/ownership/leader/unsolicited.rs
@@ -1,4 +1,4 @@
-//! Speaking to nodes that have not asked.
+//! Messages to nodes that have not sent a heartbeat.
 
 use std::net::SocketAddr;
 
@@ -9,10 +9,10 @@
 use crate::ownership::PeerMessage;
 
 impl Leader {
-    /// Has the nodes speak at once whose servers were granted keys.
-    pub(super) fn prompt(&mut self, actions: &mut Vec<Action>) {
+    /// Asks the nodes whose servers were granted keys for a heartbeat at once.
+    pub(super) fn request_heartbeats(&mut self, actions: &mut Vec<Action>) {
         let epoch = self.record.epoch;
-        for node in std::mem::take(&mut self.prompted) {
+        for node in std::mem::take(&mut self.heartbeat_requests) {
             if let Some(peer) = self.peers.get(&node) {
                 actions.push(Action::Send(
                     peer.member.control,
@@ -22,12 +22,16 @@
         }
     }
 
-    /// Speaks to nodes that are silent: one that has started while the store is away knows nobody.
-    pub(super) fn call_silent(&mut self, now: Moment, actions: &mut Vec<Action>) {
-        if !self.keeper.is_call_due(now, self.times.leader_timeout) {
+    /// Announces the leader to silent nodes: one that has started while the store is unreachable
+    /// knows no other node.
+    pub(super) fn contact_silent_peers(&mut self, now: Moment, actions: &mut Vec<Action>) {
+        if !self
+            .record_sync
+            .is_contact_due(now, self.times.leader_timeout)
+        {
             return;
         }
-        let silent = self.peers.values().filter(|peer| !peer.is_heard(now));
+        let silent = self.peers.values().filter(|peer| !peer.is_responsive(now));
         let mut addresses: Vec<SocketAddr> = silent.map(|peer| peer.member.control).collect();
         let unknown = self
             .record
