--- a/crates/mesh/src/ownership/leader/leader_machine.rs
+++ b/crates/mesh/src/ownership/leader/leader_machine.rs
@@ -134,7 +134,7 @@
     }
 
     /// Takes the decisions that are to be logged.
-    pub(in crate::ownership) fn take_notes(&mut self) -> Vec<(&'static str, String)> {
+    pub(in crate::ownership) fn take_log_entries(&mut self) -> Vec<(&'static str, String)> {
         std::mem::take(&mut self.log_entries)
     }
 
--- a/crates/mesh/src/ownership/node_machine/mod.rs
+++ b/crates/mesh/src/ownership/node_machine/mod.rs
@@ -148,7 +148,7 @@
         }
         if let Some(leader) = &mut self.leader {
             let epoch = leader.record().epoch;
-            for (event, detail) in leader.take_notes() {
+            for (event, detail) in leader.take_log_entries() {
                 log_event(&mut actions, event, epoch, detail);
             }
         }
