--- a/crates/core/src/ownership/record/checkpoint.rs
+++ b/crates/core/src/ownership/record/checkpoint.rs
@@ -1,4 +1,4 @@
-//! A copy of the replayed state.
+//! A checkpoint of the replayed control stream.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,15 +6,15 @@
 use super::TermState;
 use crate::ids::Offset;
 
-/// Repeats the term in force, so that retention may take the claim itself. It never changes what
-/// a reader already knows.
+/// Repeats the term in force, so that retention may expire the claim itself. It never changes the
+/// state of a reader that already has one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Checkpoint {
-    /// The state is that of all records before this offset.
+    /// The offset before which all records are included in the state.
     #[serde(rename = "through")]
     pub next_offset: Offset,
-    /// The term in force there.
+    /// The term in force at that offset.
     pub term: TermState,
 }
--- a/crates/core/src/ownership/record/claim.rs
+++ b/crates/core/src/ownership/record/claim.rs
@@ -1,4 +1,4 @@
-//! The claim of a term.
+//! A claim of a term.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -16,22 +16,23 @@
 pub struct Claim {
     /// The claimed term.
     pub term: Term,
-    /// The term it follows; none when the writer found no term in the whole retained log.
+    /// The term that this one follows; `None` if the writer found no term in the whole retained
+    /// log.
     #[serde(rename = "base")]
     pub predecessor: Option<Term>,
-    /// Where the writer would have read next.
+    /// The offset at which the writer would have continued to read.
     #[serde(rename = "through")]
     pub next_offset: Offset,
-    /// The controller and its deputies in order, each in one named life.
+    /// The controller followed by its deputies, in order of rank, each with its incarnation.
     #[serde(rename = "line")]
     pub controllers: Vec<Member>,
-    /// The voters, an odd count, each in the life known to the writer.
+    /// The voters, an odd number, each with the incarnation known to the writer.
     pub voters: Vec<Member>,
     /// Every node known to the writer.
     pub members: Vec<Member>,
-    /// Into how many slices each service is divided that was in use before.
+    /// The slice counts of all services that were in use before.
     #[serde(default)]
     pub divisions: Vec<Division>,
-    /// The times of the term.
+    /// The lease times of the term.
     pub times: LeaseTimes,
 }
--- a/crates/core/src/ownership/record/control_record.rs
+++ b/crates/core/src/ownership/record/control_record.rs
@@ -1,4 +1,4 @@
-//! One record of the control stream.
+//! A record of the control stream.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,14 +6,14 @@
 use super::ControlBody;
 use crate::ids::RecordId;
 
-/// Is one record of the control stream; every reader drops a second one with the same id, so that
-/// an append whose answer was lost can be retried.
+/// One record of the control stream. Readers ignore a second record with the same id, so an append
+/// whose answer was lost can be retried.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlRecord {
-    /// The record's identity.
+    /// Identifies the record across retries.
     pub id: RecordId,
-    /// What it says.
+    /// The content.
     pub body: ControlBody,
 }
--- a/crates/core/src/ownership/record/mod.rs
+++ b/crates/core/src/ownership/record/mod.rs
@@ -1,4 +1,4 @@
-//! What the control stream holds.
+//! Records of the control stream.
 
 mod checkpoint;
 mod claim;
--- a/crates/core/src/ownership/record/term_state.rs
+++ b/crates/core/src/ownership/record/term_state.rs
@@ -1,4 +1,4 @@
-//! A term that won, with what its controllers must know of earlier ones.
+//! A term that won, and what its controllers need to know of earlier terms.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,20 +12,20 @@
 use crate::ownership::Ballot;
 use crate::time::Milliseconds;
 
-/// Is a term that won its place in the log.
+/// A term whose claim won in the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct TermState {
     /// The winning claim.
     pub claim: Claim,
-    /// The voter sets of the terms from the last established one up to the one before.
+    /// The voter sets of all terms from the last established one to the one before this.
     #[serde(rename = "earlier")]
     pub earlier_voters: Vec<Vec<NodeName>>,
-    /// How long a slice waits that nobody reports, by the longest times of this and the earlier
-    /// terms whose controllers may still believe.
+    /// How long an unreported slice stays ungranted. It covers the longest lease times of this term
+    /// and of the earlier terms whose controllers may still assume authority.
     #[serde(rename = "wait")]
     pub unreported_wait: Milliseconds,
-    /// Whether a controller of this term reached its majority in all of them.
+    /// Whether a controller of this term has reached a majority in all these voter sets.
     pub established: bool,
 }
 
@@ -40,11 +40,11 @@
         self.claim.controllers.get(rank.0 as usize)
     }
 
-    /// Returns the rank of one life of a node in this term's line.
-    pub fn rank_of(&self, node: &NodeName, life: Incarnation) -> Option<Rank> {
-        let at = |member: &Member| member.node == *node && member.incarnation == life;
-        let place = self.claim.controllers.iter().position(at)?;
-        u32::try_from(place).ok().map(Rank)
+    /// Returns the rank of one incarnation of a node in this term.
+    pub fn rank_of(&self, node: &NodeName, incarnation: Incarnation) -> Option<Rank> {
+        let is_named = |member: &Member| member.node == *node && member.incarnation == incarnation;
+        let position = self.claim.controllers.iter().position(is_named)?;
+        u32::try_from(position).ok().map(Rank)
     }
 
     /// Returns the ballot of a rank.
@@ -73,7 +73,8 @@
         sets
     }
 
-    /// Returns how long the next term waits for what was granted under this one.
+    /// Returns how long an unreported slice waits in the next term for what was granted under this
+    /// one.
     pub fn successor_wait(&self) -> Milliseconds {
         if self.established {
             return self.claim.times.unreported_wait();
@@ -81,7 +82,7 @@
         self.unreported_wait
     }
 
-    /// Tells whether no controller can have been before this term's.
+    /// Returns whether no controller can have preceded those of this term.
     pub fn is_first(&self) -> bool {
         self.claim.term == Term(1)
     }
