--- a/crates/core/src/ownership/machine/controller/assignment.rs
+++ b/crates/core/src/ownership/machine/controller/assignment.rs
@@ -1,19 +1,19 @@
-//! A grant in the controller's books.
+//! A grant as the controller records it.
 
 use crate::ids::Fence;
 use crate::ids::Incarnation;
 use crate::ids::NodeName;
 use crate::time::Moment;
 
-/// Is a slice's grant to one life of a node.
+/// The grant of a slice to one incarnation of a node.
 #[derive(Clone, Debug)]
 pub(super) struct Assignment {
     pub(super) node: NodeName,
     pub(super) incarnation: Incarnation,
     pub(super) fence: Fence,
-    /// Whether the holder said that its backend server took it.
+    /// Whether the holder has reported that its backend server accepted the grant.
     pub(super) confirmed: bool,
-    /// When the holder stops believing at the latest, on the controller's clock; none while the
-    /// grant has not been sent.
-    pub(super) end: Option<Moment>,
+    /// The latest moment at which the holder's lease ends, on the controller's clock; `None` until
+    /// the grant is sent.
+    pub(super) latest_end: Option<Moment>,
 }
--- a/crates/core/src/ownership/machine/controller/authority.rs
+++ b/crates/core/src/ownership/machine/controller/authority.rs
@@ -1,4 +1,4 @@
-//! The bound on a controller's authority.
+//! Limits the time during which a controller may grant and renew leases.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,47 +6,47 @@
 use crate::ids::NodeName;
 use crate::time::Moment;
 
-/// How many rounds are remembered; a round is opened at most once a step.
-const REMEMBERED_ROUNDS: usize = 512;
+/// Number of rounds whose send times are kept. A step opens at most one round.
+const MAX_REMEMBERED_ROUNDS: usize = 512;
 
-/// Counts which voters acknowledged which messages. Authority runs from the moment a message was
-/// sent, on the controller's clock, so that a delay on the network can only shorten it.
+/// Records which voters acknowledged which rounds of messages. Authority counts from the moment a
+/// message was sent, on the controller's clock, so network delay can only shorten it.
 #[derive(Debug)]
 pub(super) struct Authority {
-    quorums: Vec<Vec<NodeName>>,
+    voter_sets: Vec<Vec<NodeName>>,
     acknowledged: BTreeMap<NodeName, Moment>,
     rounds: BTreeMap<u64, Moment>,
     round: u64,
 }
 
 impl Authority {
-    pub(super) fn open(quorums: Vec<Vec<NodeName>>) -> Self {
+    pub(super) fn open(voter_sets: Vec<Vec<NodeName>>) -> Self {
         Self {
-            quorums,
+            voter_sets,
             acknowledged: BTreeMap::new(),
             rounds: BTreeMap::new(),
             round: 0,
         }
     }
 
-    /// Returns the number of the round of this moment.
+    /// Returns the number of the round whose messages are sent now.
     pub(super) fn round_at(&mut self, now: Moment) -> u64 {
         if self.rounds.get(&self.round) != Some(&now) {
             self.round += 1;
             self.rounds.insert(self.round, now);
-            while self.rounds.len() > REMEMBERED_ROUNDS {
+            while self.rounds.len() > MAX_REMEMBERED_ROUNDS {
                 self.rounds.pop_first();
             }
         }
         self.round
     }
 
-    /// Returns when a round's messages were sent.
+    /// Returns when the messages of a round were sent.
     pub(super) fn sent_at(&self, round: u64) -> Option<Moment> {
         self.rounds.get(&round).copied()
     }
 
-    /// Notes that a voter acknowledged a round.
+    /// Records that a voter acknowledged a round.
     pub(super) fn acknowledge(&mut self, node: &NodeName, round: u64) {
         let Some(sent) = self.sent_at(round) else {
             return;
@@ -59,22 +59,25 @@
         self.acknowledged.contains_key(node)
     }
 
-    /// Narrows the voter sets to this term's own, once the log says that it is established.
+    /// Requires only the voters of this term, once the log records the term as established.
     pub(super) fn narrow(&mut self, voters: Vec<NodeName>) {
-        self.quorums = vec![voters];
+        self.voter_sets = vec![voters];
     }
 
     /// Returns the latest moment such that a majority of every voter set acknowledged a message
     /// sent then or later.
-    pub(super) fn confirmed(&self) -> Option<Moment> {
-        let each = self.quorums.iter().map(|voters| self.confirmed_by(voters));
+    pub(super) fn confirmed_at(&self) -> Option<Moment> {
+        let each = self
+            .voter_sets
+            .iter()
+            .map(|voters| self.confirmed_by(voters));
         each.min().flatten()
     }
 
-    /// Tells whether a majority acknowledged messages sent within the last lease time. Older ones
-    /// do not add up: those voters may have adopted a higher controller since.
+    /// Returns whether a majority acknowledged messages sent within the last lease time. Older
+    /// acknowledgements do not count, because those voters may have adopted a higher ballot since.
     pub(super) fn is_valid(&self, now: Moment, lease: Duration) -> bool {
-        self.confirmed()
+        self.confirmed_at()
             .is_some_and(|confirmed| now < confirmed + lease)
     }
 
--- a/crates/core/src/ownership/machine/controller/balance.rs
+++ b/crates/core/src/ownership/machine/controller/balance.rs
@@ -1,4 +1,4 @@
-//! The weights of slices and the pace of moves.
+//! Slice weights and the rate of voluntary moves.
 
 use std::collections::BTreeMap;
 
@@ -7,28 +7,28 @@
 use crate::ids::SliceId;
 use crate::time::Moment;
 
-/// Below this mean rate of a service's slices, in requests per second, load says nothing.
-const LEAST_RATE: f32 = 5.0;
-/// How much of a slice's weight comes from its load; the rest is its share of the keys.
-const LOAD_PART: f32 = 0.75;
+/// Mean rate of a service's slices below which the load is ignored.
+const MIN_MEAN_REQUESTS_PER_SECOND: f32 = 5.0;
+/// Share of a slice's weight that comes from its load; the rest is its equal share of the keys.
+const LOAD_WEIGHT_SHARE: f32 = 0.75;
 
-/// Weighs slices and remembers when the last voluntary move was ordered.
+/// Slice weights, and the time of the last voluntary move.
 #[derive(Debug, Default)]
 pub(super) struct Balance {
     weights: BTreeMap<SliceId, f32>,
-    pub(super) moved: Option<Moment>,
-    /// Since when an uneven service has stayed uneven.
-    pub(super) uneven: BTreeMap<ServiceName, Moment>,
+    pub(super) last_move: Option<Moment>,
+    /// When each uneven service became uneven.
+    pub(super) uneven_since: BTreeMap<ServiceName, Moment>,
 }
 
 impl Balance {
-    /// Returns a slice's weight; one of mean load weighs one.
+    /// Returns a slice's weight; a slice with the mean load weighs 1.
     pub(super) fn weight(&self, slice: &SliceId) -> f32 {
         self.weights.get(slice).copied().unwrap_or(1.0)
     }
 
-    /// Weighs every slice anew from the smoothed rates.
-    pub(super) fn weigh(&mut self, slices: &BTreeMap<SliceId, SliceEntry>) {
+    /// Computes the weight of every slice from the smoothed rates.
+    pub(super) fn update_weights(&mut self, slices: &BTreeMap<SliceId, SliceEntry>) {
         let mut sums: BTreeMap<&ServiceName, (f32, f32)> = BTreeMap::new();
         for (slice, entry) in slices {
             let sum = sums.entry(&slice.service).or_default();
@@ -41,8 +41,8 @@
                 continue;
             };
             let mean = rates / count;
-            if mean >= LEAST_RATE {
-                let weight = 1.0 - LOAD_PART + LOAD_PART * entry.rate / mean;
+            if mean >= MIN_MEAN_REQUESTS_PER_SECOND {
+                let weight = 1.0 - LOAD_WEIGHT_SHARE + LOAD_WEIGHT_SHARE * entry.rate / mean;
                 self.weights.insert(slice.clone(), weight);
             }
         }
--- a/crates/core/src/ownership/machine/controller/heartbeats.rs
+++ b/crates/core/src/ownership/machine/controller/heartbeats.rs
@@ -1,9 +1,9 @@
-//! Heartbeats of nodes and their answers.
+//! Handles heartbeats of nodes and answers them.
 
 use super::Context;
 use super::Controller;
 use super::Outbox;
-use super::Seat;
+use super::PeerEntry;
 use super::SliceState;
 use crate::explain::Happening;
 use crate::ids::Fence;
@@ -16,76 +16,79 @@
 use crate::ownership::message::Heartbeat;
 use crate::ownership::message::Updates;
 
-/// The weight of the newest rate in the smoothed one.
-const RATE_WEIGHT: f32 = 0.3;
+/// Weight of the newest rate in the moving average.
+const NEWEST_RATE_WEIGHT: f32 = 0.3;
 
 impl Controller {
-    /// Takes a heartbeat of a node that follows this controller, and answers it if it may.
+    /// Handles a heartbeat of a node that follows this controller, and answers it while the
+    /// controller has authority.
     pub(in crate::ownership::machine) fn handle_heartbeat(
         &mut self,
         context: &Context<'_>,
         heartbeat: Box<Heartbeat>,
         out: &mut Outbox,
     ) {
-        if !self.seat(context, &heartbeat, out) {
+        if !self.accept(context, &heartbeat, out) {
             return;
         }
         if let Some(round) = heartbeat.acked {
             self.authority.acknowledge(&heartbeat.node, round);
         }
-        if !self.take_report(context, &heartbeat, out) {
+        if !self.record_leases(context, &heartbeat, out) {
             return;
         }
-        self.take_releases(context, &heartbeat);
-        self.take_load(&heartbeat);
-        if self.established.is_some() && self.is_in_authority(context) {
-            self.grant_free(context, out);
-            self.answer(context, &heartbeat, out);
-        } else if let Some(seat) = self.seats.get_mut(&heartbeat.node) {
-            seat.unanswered = Some(heartbeat);
+        self.record_releases(context, &heartbeat);
+        self.record_load(&heartbeat);
+        if self.established.is_some() && self.has_authority(context) {
+            self.grant_free_slices(context, out);
+            self.send_answer(context, &heartbeat, out);
+        } else if let Some(peer) = self.peers.get_mut(&heartbeat.node) {
+            peer.unanswered = Some(heartbeat);
         }
     }
 
-    /// Answers the heartbeats that came before the majority, so that their leases are extended at
-    /// once.
-    pub(super) fn answer_waiting(&mut self, context: &Context<'_>, out: &mut Outbox) {
-        let take = |seat: &mut Seat| seat.unanswered.take();
-        let waiting: Vec<_> = self.seats.values_mut().filter_map(take).collect();
+    /// Answers the heartbeats that arrived before the majority, so that their leases are extended
+    /// immediately.
+    pub(super) fn answer_pending_heartbeats(&mut self, context: &Context<'_>, out: &mut Outbox) {
+        let take = |peer: &mut PeerEntry| peer.unanswered.take();
+        let waiting: Vec<_> = self.peers.values_mut().filter_map(take).collect();
         for heartbeat in waiting {
-            self.answer(context, &heartbeat, out);
+            self.send_answer(context, &heartbeat, out);
         }
     }
 
-    /// Finds the sender's seat; a heartbeat of an earlier life, or overtaken by a newer one, is
-    /// left out.
-    fn seat(&mut self, context: &Context<'_>, heartbeat: &Heartbeat, out: &mut Outbox) -> bool {
-        let joins = self
-            .seats
+    /// Updates the sender's entry. Returns false for a heartbeat to ignore: from an earlier
+    /// incarnation, older than one already handled, or from a node whose profile is unknown, which
+    /// gets the term instead.
+    fn accept(&mut self, context: &Context<'_>, heartbeat: &Heartbeat, out: &mut Outbox) -> bool {
+        let is_new = self
+            .peers
             .get(&heartbeat.node)
-            .is_none_or(|seat| seat.heard.is_none());
+            .is_none_or(|peer| peer.last_heartbeat.is_none());
         if let Some(profile) = &heartbeat.profile {
-            self.admit(&profile.member);
+            self.add_peer(&profile.member);
         }
-        let Some(seat) = self.seats.get_mut(&heartbeat.node) else {
+        let Some(peer) = self.peers.get_mut(&heartbeat.node) else {
             return false;
         };
-        if seat.member.incarnation != heartbeat.incarnation || heartbeat.number <= seat.number {
+        if peer.member.incarnation != heartbeat.incarnation || heartbeat.number <= peer.last_number
+        {
             return false;
         }
-        if seat.profile.is_none() && heartbeat.profile.is_none() {
+        if peer.profile.is_none() && heartbeat.profile.is_none() {
             let node = heartbeat.node.clone();
             self.send_term(context, &node, out);
             return false;
         }
-        seat.number = heartbeat.number;
-        seat.heard = Some(context.now);
-        seat.hears = seat.hears.max(self.authority.sent_at(heartbeat.round));
+        peer.last_number = heartbeat.number;
+        peer.last_heartbeat = Some(context.now);
+        peer.delivered = peer.delivered.max(self.authority.sent_at(heartbeat.round));
         if let Some(profile) = &heartbeat.profile {
-            seat.member = profile.member.clone();
-            seat.profile = Some(profile.clone());
-            self.touched = true;
+            peer.member = profile.member.clone();
+            peer.profile = Some(profile.clone());
+            self.changed = true;
         }
-        if joins {
+        if is_new {
             out.explain(Happening::MemberJoined {
                 node: heartbeat.node.clone(),
                 incarnation: heartbeat.incarnation,
@@ -94,39 +97,40 @@
         true
     }
 
-    /// Takes a report, if there is one; it counts from the round that the node had heard.
-    fn take_report(
+    /// Records the reported leases, if any. A report counts from the round that the node had
+    /// received when it sent it.
+    fn record_leases(
         &mut self,
         context: &Context<'_>,
         heartbeat: &Heartbeat,
         out: &mut Outbox,
     ) -> bool {
-        let Some(report) = &heartbeat.leases else {
+        let Some(leases) = &heartbeat.leases else {
             return true;
         };
-        let Some(heard) = self.authority.sent_at(heartbeat.round) else {
-            if report.is_empty() {
+        let Some(received) = self.authority.sent_at(heartbeat.round) else {
+            if leases.is_empty() {
                 return true;
             }
             let node = heartbeat.node.clone();
             self.send_term(context, &node, out);
             return false;
         };
-        for holding in report {
-            self.take_holding(
+        for report in leases {
+            self.record_lease(
                 context,
                 &heartbeat.node,
                 heartbeat.incarnation,
-                heard,
-                holding,
+                received,
+                report,
             );
         }
         true
     }
 
-    /// Frees what the holder gave back. A release names its grant: one that comes late or twice
-    /// must not free a newer grant of the same slice.
-    fn take_releases(&mut self, context: &Context<'_>, heartbeat: &Heartbeat) {
+    /// Frees the slices that the holder released. A release names its grant, because a delayed or
+    /// duplicate release must not free a newer grant of the same slice.
+    fn record_releases(&mut self, context: &Context<'_>, heartbeat: &Heartbeat) {
         for fence in &heartbeat.released {
             let Some(slice) = self.fences.get(fence) else {
                 continue;
@@ -134,109 +138,109 @@
             let Some(entry) = self.slices.get_mut(slice) else {
                 continue;
             };
-            let owned = entry.assignment().is_some_and(|assignment| {
+            let is_current = entry.assignment().is_some_and(|assignment| {
                 (assignment.fence == *fence || !context.rules.fenced_release)
                     && assignment.node == heartbeat.node
                     && assignment.incarnation == heartbeat.incarnation
             });
-            if !owned {
+            if !is_current {
                 continue;
             }
             let confirmed = entry.assignment().is_some_and(|known| known.confirmed);
             entry.release(context.now);
-            self.touched = true;
+            self.changed = true;
             if context.rules.fenced_release {
                 self.fences.remove(fence);
             }
-            if !confirmed && let Some(seat) = self.seats.get_mut(&heartbeat.node) {
-                seat.refused = seat.heard;
+            if !confirmed && let Some(peer) = self.peers.get_mut(&heartbeat.node) {
+                peer.refused_at = peer.last_heartbeat;
             }
         }
     }
 
-    fn take_load(&mut self, heartbeat: &Heartbeat) {
+    fn record_load(&mut self, heartbeat: &Heartbeat) {
         let Some(load) = &heartbeat.load else {
             return;
         };
         for (fence, rate) in heartbeat.held.iter().zip(&load.rates) {
             let slice = self.fences.get(fence);
             if let Some(entry) = slice.and_then(|slice| self.slices.get_mut(slice)) {
-                entry.rate += (*rate as f32 - entry.rate) * RATE_WEIGHT;
+                entry.rate += (*rate as f32 - entry.rate) * NEWEST_RATE_WEIGHT;
             }
         }
-        if let Some(seat) = self.seats.get_mut(&heartbeat.node) {
-            seat.load = Some(load.clone());
-            self.touched = true;
+        if let Some(peer) = self.peers.get_mut(&heartbeat.node) {
+            peer.load = Some(load.clone());
+            self.changed = true;
         }
     }
 
-    /// Answers a heartbeat. Everything it grants or renews may be believed until one lease after
-    /// this moment at the latest, because the heartbeat was sent earlier.
-    fn answer(&mut self, context: &Context<'_>, heartbeat: &Heartbeat, out: &mut Outbox) {
-        let Some(seat) = self.seats.get_mut(&heartbeat.node) else {
+    /// Answers a heartbeat. The leases it grants or renews end at most one lease time from now,
+    /// because they count from the sending of the heartbeat, which was earlier.
+    fn send_answer(&mut self, context: &Context<'_>, heartbeat: &Heartbeat, out: &mut Outbox) {
+        let Some(peer) = self.peers.get_mut(&heartbeat.node) else {
             return;
         };
-        let to = seat.member.heartbeat;
+        let to = peer.member.heartbeat;
         let version = context.intent.map(|intent| intent.version);
-        let news = Updates {
-            intent_version: version.and_then(|version| seat.tell_intent(version)),
+        let updates = Updates {
+            intent_version: version.and_then(|version| peer.next_intent_version(version)),
             routing: self.routing.delta_since(heartbeat.routing),
         };
-        let is_any = news.intent_version.is_some() || news.routing.is_some();
-        let dropped = self.renew_held(context, heartbeat, out);
+        let has_updates = updates.intent_version.is_some() || updates.routing.is_some();
+        let unrecognised = self.renew_leases(context, heartbeat, out);
         let grants = self.pending_grants(context, &heartbeat.node, heartbeat.incarnation);
         let answer = Answer {
             ballot: self.ballot,
             incarnation: heartbeat.incarnation,
             number: heartbeat.number,
             round: self.authority.round_at(context.now),
-            unrecognised: dropped,
+            unrecognised,
             grants,
             drains: self.pending_drains(&heartbeat.node, heartbeat.incarnation),
-            updates: is_any.then(|| Box::new(news)),
+            updates: has_updates.then(|| Box::new(updates)),
         };
         out.send(to, PeerMessage::Answer(Box::new(answer)));
     }
 
-    fn renew_held(
+    fn renew_leases(
         &mut self,
         context: &Context<'_>,
         heartbeat: &Heartbeat,
         out: &mut Outbox,
     ) -> Vec<Fence> {
         let end = context.now + self.times().lease();
-        let mut dropped = Vec::new();
+        let mut unrecognised = Vec::new();
         for fence in &heartbeat.held {
             let slice = self.fences.get(fence);
             let entry = slice.and_then(|slice| self.slices.get_mut(slice));
             let (Some(slice), Some(entry)) = (slice, entry) else {
-                dropped.push(*fence);
+                unrecognised.push(*fence);
                 continue;
             };
             let SliceState::Granted(assignment) = &mut entry.state else {
-                dropped.push(*fence);
+                unrecognised.push(*fence);
                 continue;
             };
             let same = assignment.fence == *fence
                 && assignment.node == heartbeat.node
                 && assignment.incarnation == heartbeat.incarnation;
             if !same {
-                dropped.push(*fence);
+                unrecognised.push(*fence);
                 continue;
             }
-            assignment.end = assignment.end.max(Some(end));
+            assignment.latest_end = assignment.latest_end.max(Some(end));
             if !assignment.confirmed {
                 assignment.confirmed = true;
-                self.touched = true;
+                self.changed = true;
                 out.explain(Happening::GrantConfirmed {
                     slice: slice.clone(),
                     fence: *fence,
                     node: heartbeat.node.clone(),
-                    waited: entry.fill(context.now),
+                    waited: entry.end_vacancy(context.now),
                 });
             }
         }
-        dropped
+        unrecognised
     }
 
     fn pending_grants(
@@ -247,8 +251,8 @@
     ) -> Vec<Grant> {
         let end = context.now + self.times().lease();
         let lease = self.times().lease();
-        let seat = self.seats.get(node);
-        if seat.is_some_and(|seat| !seat.hears_within(context.now, lease)) {
+        let peer = self.peers.get(node);
+        if peer.is_some_and(|peer| !peer.is_reached_within(context.now, lease)) {
             return Vec::new();
         }
         let mut grants = Vec::new();
@@ -261,7 +265,7 @@
             if !own || assignment.confirmed {
                 continue;
             }
-            assignment.end = assignment.end.max(Some(end));
+            assignment.latest_end = assignment.latest_end.max(Some(end));
             grants.push(Grant {
                 slice: slice.clone(),
                 fence: assignment.fence,
@@ -274,17 +278,17 @@
     fn pending_drains(&self, node: &NodeName, incarnation: Incarnation) -> Vec<Drain> {
         let mut drains = Vec::new();
         for entry in self.slices.values() {
-            let (Some(plan), Some(assignment)) = (&entry.planned, entry.assignment()) else {
+            let (Some(plan), Some(assignment)) = (&entry.planned_move, entry.assignment()) else {
                 continue;
             };
             if assignment.node != *node || assignment.incarnation != incarnation {
                 continue;
             }
             let target = plan.target.as_ref();
-            let successor = target.and_then(|target| self.seats.get(target));
+            let successor = target.and_then(|target| self.peers.get(target));
             drains.push(Drain {
                 fence: assignment.fence,
-                successor: successor.map(|seat| seat.member.clone()),
+                successor: successor.map(|peer| peer.member.clone()),
             });
         }
         drains
--- a/crates/core/src/ownership/machine/controller/leases.rs
+++ b/crates/core/src/ownership/machine/controller/leases.rs
@@ -1,4 +1,4 @@
-//! Leases that end, and slices that become free.
+//! Expiry of leases, and the slices that become free.
 
 use std::time::Duration;
 
@@ -15,13 +15,13 @@
 use crate::time::Moment;
 
 impl Controller {
-    /// Makes the books hold the slices that the document names.
+    /// Adds the slices that the document names and removes free ones that it no longer names.
     pub(super) fn sync_slices(&mut self, context: &Context<'_>) {
         let Some(intent) = context.intent else {
             return;
         };
         let until = self.unreported_until(context);
-        let vacant = Some(self.opened);
+        let vacant_since = Some(self.opened);
         self.divisions.add_services(context);
         for service in &intent.document.services {
             for index in 0..self.divisions.count(&service.name) {
@@ -34,11 +34,11 @@
                 }
                 let entry = match until {
                     Some(until) if until > context.now => SliceEntry::open(
-                        SliceState::Waiting(until),
+                        SliceState::Unreported(until),
                         GrantReason::Unreported,
-                        vacant,
+                        vacant_since,
                     ),
-                    _ => SliceEntry::open(SliceState::Free, GrantReason::Unowned, vacant),
+                    _ => SliceEntry::open(SliceState::Free, GrantReason::Unowned, vacant_since),
                 };
                 self.slices.insert(slice, entry);
             }
@@ -48,15 +48,15 @@
         });
     }
 
-    /// Explains once for each document which divisions of it are not followed.
+    /// Reports, once for each document, the services whose new slice count is not applied.
     pub(super) fn explain_divisions(&mut self, context: &Context<'_>, out: &mut Outbox) {
         let Some(intent) = context.intent else {
             return;
         };
-        if self.explained == Some(intent.version) {
+        if self.explained_version == Some(intent.version) {
             return;
         }
-        self.explained = Some(intent.version);
+        self.explained_version = Some(intent.version);
         for service in &intent.document.services {
             let slices = self.divisions.count(&service.name);
             if slices != service.slices {
@@ -69,36 +69,41 @@
         }
     }
 
-    /// Ends the leases of silent holders and frees what can have no holder any more.
-    pub(super) fn settle_leases(&mut self, context: &Context<'_>, out: &mut Outbox) {
-        let confirmed = self.authority.confirmed();
+    /// Expires the leases of silent holders and frees the slices that can no longer have a holder.
+    pub(super) fn expire_leases(&mut self, context: &Context<'_>, out: &mut Outbox) {
+        let confirmed = self.authority.confirmed_at();
         let margin = self.times().margin();
         for (slice, entry) in &mut self.slices {
             match &entry.state {
-                SliceState::Waiting(until) if *until < context.now => {
+                SliceState::Unreported(until) if *until < context.now => {
                     out.explain(Happening::SliceUnreported {
                         slice: slice.clone(),
                     });
                     entry.state = SliceState::Free;
                 }
-                SliceState::Granted(assignment) if is_over(assignment, context.now, margin) => {
+                SliceState::Granted(assignment) if is_expired(assignment, context.now, margin) => {
                     out.explain(Happening::HolderSilent {
                         slice: slice.clone(),
                         fence: assignment.fence,
                         node: assignment.node.clone(),
                     });
                     self.fences.remove(&assignment.fence);
-                    self.touched = true;
-                    let heard = self.seats.get(&assignment.node).and_then(|seat| seat.heard);
-                    entry.vacant = entry.vacant.or(heard.min(assignment.end));
+                    self.changed = true;
+                    let last_heartbeat = self
+                        .peers
+                        .get(&assignment.node)
+                        .and_then(|peer| peer.last_heartbeat);
+                    entry.vacant_since = entry
+                        .vacant_since
+                        .or(last_heartbeat.min(assignment.latest_end));
                     entry.state = SliceState::Lapsed(context.now);
                     entry.reason = GrantReason::HolderSilent;
                     entry.previous = None;
-                    entry.planned = None;
+                    entry.planned_move = None;
                 }
-                // A silent holder may follow a higher controller that extended its lease. That one
-                // had a majority before the lapse, so a majority that acknowledges a message sent
-                // after the lapse shows that there is none.
+                // The silent holder may follow a higher controller that extended its lease. That
+                // controller had its majority before the lapse, so a majority that acknowledges a
+                // message sent after the lapse proves that there is none.
                 SliceState::Lapsed(since)
                     if confirmed.is_some_and(|confirmed| confirmed > *since)
                         || !context.rules.confirm_lapse =>
@@ -110,19 +115,19 @@
         }
     }
 
-    /// Takes back grants that were never sent to a node that has fallen silent or restarted.
-    pub(super) fn cancel_unsent(&mut self, now: Moment) {
+    /// Cancels grants that were never sent to a node that has fallen silent or restarted.
+    pub(super) fn cancel_unsent_grants(&mut self, now: Moment) {
         let lease = self.times().lease();
         for entry in self.slices.values_mut() {
             let Some(assignment) = entry.assignment() else {
                 continue;
             };
-            let seat = self.seats.get(&assignment.node);
-            let there = seat.is_some_and(|seat| {
-                let same = seat.member.incarnation == assignment.incarnation;
-                same && seat.is_heard_within(now, lease)
+            let peer = self.peers.get(&assignment.node);
+            let alive = peer.is_some_and(|peer| {
+                let same = peer.member.incarnation == assignment.incarnation;
+                same && peer.is_responsive_within(now, lease)
             });
-            if !there && assignment.end.is_none() {
+            if !alive && assignment.latest_end.is_none() {
                 self.fences.remove(&assignment.fence);
                 entry.state = SliceState::Free;
             }
@@ -130,6 +135,6 @@
     }
 }
 
-fn is_over(assignment: &Assignment, now: Moment, margin: Duration) -> bool {
-    assignment.end.is_some_and(|end| end + margin < now)
+fn is_expired(assignment: &Assignment, now: Moment, margin: Duration) -> bool {
+    assignment.latest_end.is_some_and(|end| end + margin < now)
 }
--- a/crates/core/src/ownership/machine/controller/mod.rs
+++ b/crates/core/src/ownership/machine/controller/mod.rs
@@ -1,18 +1,18 @@
 //! The controller of a cell.
 
+mod announcements;
 mod assignment;
 mod authority;
 mod balance;
-mod calls;
 mod heartbeats;
 mod leases;
 mod moves;
+mod peer_entry;
 mod placement;
 mod planned_move;
 mod records;
-mod routing_book;
-mod routing_wanted;
-mod seat;
+mod routing_history;
+mod routing_table;
 mod slice_entry;
 mod slice_state;
 mod takeover;
@@ -20,9 +20,9 @@
 use assignment::Assignment;
 use authority::Authority;
 use balance::Balance;
+use peer_entry::PeerEntry;
 use planned_move::PlannedMove;
-use routing_book::RoutingBook;
-use seat::Seat;
+use routing_history::RoutingHistory;
 use slice_entry::SliceEntry;
 use slice_state::SliceState;
 
@@ -49,13 +49,13 @@
 use crate::ownership::record::TermState;
 use crate::time::Moment;
 
-/// How often the books are compared while nothing changes but time.
-const IDLE_PERIOD: Duration = Duration::from_millis(100);
-/// How often the books are compared with the document and the routing table with the books, while
-/// they change. Comparing at every message would cost a large cell's controller most of its time.
-const GOVERN_PERIOD: Duration = Duration::from_millis(10);
+/// Interval between updates of the slices and the routing table while no state changes.
+const IDLE_UPDATE_PERIOD: Duration = Duration::from_millis(100);
+/// Interval between updates of the slices and the routing table while state changes. An update for
+/// every message would take most of the time of a large cluster's controller.
+const BUSY_UPDATE_PERIOD: Duration = Duration::from_millis(10);
 
-/// Grants leases while a majority of voters acknowledges it.
+/// Grants leases as long as a majority of the voters acknowledges this controller.
 #[derive(Debug)]
 pub(super) struct Controller {
     ballot: Ballot,
@@ -63,60 +63,60 @@
     term: Arc<TermState>,
     authority: Authority,
     established: Option<Moment>,
-    seats: BTreeMap<NodeName, Seat>,
+    peers: BTreeMap<NodeName, PeerEntry>,
     slices: BTreeMap<SliceId, SliceEntry>,
     fences: BTreeMap<Fence, SliceId>,
-    sequence: Sequence,
-    routing: RoutingBook,
+    last_sequence: Sequence,
+    routing: RoutingHistory,
     divisions: Divisions,
-    /// The intent whose divisions have been explained.
-    explained: Option<Version>,
+    /// The intent version for which differing slice counts have been reported.
+    explained_version: Option<Version>,
     balance: Balance,
-    called: Option<Moment>,
-    governed: Option<Moment>,
-    /// Whether the books have changed since the routing table was last compared with them.
-    touched: bool,
-    planned: Option<Moment>,
-    checkpointed: Option<Moment>,
-    /// Whether the log was out of reach since the last checkpoint.
-    log_lost: bool,
-    succession_due: Option<Moment>,
-    claimed: Option<Moment>,
+    last_announcements: Option<Moment>,
+    last_update: Option<Moment>,
+    /// Whether peers or slices have changed since the last update.
+    changed: bool,
+    last_plan: Option<Moment>,
+    last_checkpoint: Option<Moment>,
+    /// Whether the log has been unreachable since the last checkpoint.
+    log_outage: bool,
+    claim_due: Option<Moment>,
+    last_claim: Option<Moment>,
 }
 
 impl Controller {
-    /// Opens a controller that has no majority yet.
+    /// Creates a controller that has no majority yet.
     pub(super) fn open(context: &Context<'_>, ballot: Ballot, term: Arc<TermState>) -> Self {
         let mut controller = Self {
             ballot,
             opened: context.now,
             authority: Authority::open(term.voter_sets()),
             established: None,
-            seats: BTreeMap::new(),
+            peers: BTreeMap::new(),
             slices: BTreeMap::new(),
             fences: BTreeMap::new(),
-            sequence: Sequence(0),
-            routing: RoutingBook::open(ballot),
-            explained: None,
+            last_sequence: Sequence(0),
+            routing: RoutingHistory::open(ballot),
+            explained_version: None,
             divisions: Divisions::collect(context, Some(&term)),
             balance: Balance::default(),
-            called: None,
-            governed: None,
-            touched: true,
-            planned: None,
-            checkpointed: None,
-            log_lost: false,
-            succession_due: None,
-            claimed: None,
+            last_announcements: None,
+            last_update: None,
+            changed: true,
+            last_plan: None,
+            last_checkpoint: None,
+            log_outage: false,
+            claim_due: None,
+            last_claim: None,
             term,
         };
         for member in controller.term.clone().claim.members.iter() {
-            controller.admit(member);
+            controller.add_peer(member);
         }
         for node in context.routing.nodes.values() {
-            controller.admit(&node.member);
+            controller.add_peer(&node.member);
         }
-        controller.admit(context.own);
+        controller.add_peer(context.own);
         controller
     }
 
@@ -136,58 +136,58 @@
         self.term.claim.times
     }
 
-    /// Does what is due and returns why the controller stands down, if it does.
+    /// Performs all due work. Returns the reason if the controller has to stand down.
     pub(super) fn advance(
         &mut self,
         context: &Context<'_>,
         out: &mut Outbox,
     ) -> Option<StandDownReason> {
         for member in context.log.joins() {
-            self.admit(member);
+            self.add_peer(member);
         }
-        self.narrow_quorums(context);
+        self.narrow_voter_sets(context);
         if self.established.is_none() {
             self.try_establish(context, out);
-        } else if !self.is_in_authority(context) {
+        } else if !self.has_authority(context) {
             return Some(StandDownReason::MajorityLost);
         }
-        self.call_nodes(context, out);
+        self.send_announcements(context, out);
         if self.established.is_some() {
-            self.govern(context, out);
+            self.manage_slices(context, out);
         }
         None
     }
 
-    /// Notes a voter's acknowledgement.
+    /// Records that a voter acknowledged a round.
     pub(super) fn acknowledge(&mut self, node: &NodeName, round: u64) {
         self.authority.acknowledge(node, round);
     }
 
-    /// Tells whether grants and renewals may be given at this moment.
+    /// Returns whether the controller may grant and renew leases at this moment.
     ///
-    /// Without this bound a controller that is cut off, or was paused, would go on renewing beside
+    /// Without this bound a partitioned or paused controller would go on renewing leases alongside
     /// its successor, and a key would have two owners.
-    fn is_in_authority(&self, context: &Context<'_>) -> bool {
+    fn has_authority(&self, context: &Context<'_>) -> bool {
         if !context.rules.fresh_majority {
-            return self.authority.confirmed().is_some();
+            return self.authority.confirmed_at().is_some();
         }
         self.authority.is_valid(context.now, self.times().lease())
     }
 
-    fn govern(&mut self, context: &Context<'_>, out: &mut Outbox) {
-        self.settle_leases(context, out);
-        self.grant_free(context, out);
-        let period = if self.touched {
-            GOVERN_PERIOD
+    fn manage_slices(&mut self, context: &Context<'_>, out: &mut Outbox) {
+        self.expire_leases(context, out);
+        self.grant_free_slices(context, out);
+        let period = if self.changed {
+            BUSY_UPDATE_PERIOD
         } else {
-            IDLE_PERIOD
+            IDLE_UPDATE_PERIOD
         };
         let due = self
-            .governed
-            .is_none_or(|governed| context.now.since(governed) >= period);
+            .last_update
+            .is_none_or(|updated| context.now.since(updated) >= period);
         if due {
-            self.governed = Some(context.now);
-            self.touched = false;
+            self.last_update = Some(context.now);
+            self.changed = false;
             self.sync_slices(context);
             self.explain_divisions(context, out);
             self.plan_moves(context, out);
@@ -195,17 +195,17 @@
         }
     }
 
-    /// Takes a node into account that is not known in this life or a later one.
-    fn admit(&mut self, member: &Member) {
-        let known = self.seats.get(&member.node);
-        if known.is_some_and(|seat| seat.member.incarnation >= member.incarnation) {
+    /// Adds a node, or replaces the entry of an earlier incarnation.
+    fn add_peer(&mut self, member: &Member) {
+        let known = self.peers.get(&member.node);
+        if known.is_some_and(|peer| peer.member.incarnation >= member.incarnation) {
             return;
         }
-        self.seats
-            .insert(member.node.clone(), Seat::open(member.clone()));
+        self.peers
+            .insert(member.node.clone(), PeerEntry::open(member.clone()));
     }
 
-    /// Explains that the controller stands down.
+    /// Reports that the controller stands down.
     pub(super) fn explain_stand_down(&self, reason: StandDownReason, out: &mut Outbox) {
         out.explain(Happening::ControllerStoodDown {
             term: self.ballot.term,
--- a/crates/core/src/ownership/machine/controller/moves.rs
+++ b/crates/core/src/ownership/machine/controller/moves.rs
@@ -1,12 +1,12 @@
-//! Moves of slices from node to node.
+//! Moves slices between nodes.
 
 use std::time::Duration;
 
 use super::Context;
 use super::Controller;
 use super::Outbox;
+use super::PeerEntry;
 use super::PlannedMove;
-use super::Seat;
 use super::SliceState;
 use crate::explain::Happening;
 use crate::explain::MoveReason;
@@ -14,41 +14,45 @@
 use crate::ids::ServiceName;
 use crate::ids::SliceId;
 
-/// How often moves are considered.
+/// Interval between searches for moves.
 const PLAN_PERIOD: Duration = Duration::from_millis(100);
 /// The shortest time between two voluntary moves.
-const MOVE_PERIOD: Duration = Duration::from_millis(200);
-/// How long a service must stay uneven before a slice moves for it.
-const UNEVEN_TIME: Duration = Duration::from_millis(1_000);
-/// By how much of a mean slice the fuller node must gain; less than a whole one, more than noise.
-const LEAST_GAIN: f32 = 0.4;
-/// How many voluntary moves run at once.
-const MOVES_AT_ONCE: usize = 2;
+const MIN_MOVE_INTERVAL: Duration = Duration::from_millis(200);
+/// How long a service must be uneven before one of its slices moves.
+const MIN_UNEVEN_TIME: Duration = Duration::from_millis(1_000);
+/// Least load that a move must take off the fullest node, in slices of mean weight. It is less than
+/// one whole slice and more than noise.
+const MIN_GAIN_SLICES: f32 = 0.4;
+/// Number of moves in progress at which no voluntary one is started.
+const MAX_CONCURRENT_MOVES: usize = 2;
 
 impl Controller {
-    /// Orders the moves that are due: those that operators or leaving nodes ask for at once,
-    /// voluntary ones one after the other.
+    /// Orders all due moves: those that operators or leaving nodes require at once, voluntary ones
+    /// one at a time.
     pub(super) fn plan_moves(&mut self, context: &Context<'_>, out: &mut Outbox) {
         let due = self
-            .planned
-            .is_none_or(|planned| context.now.since(planned) >= PLAN_PERIOD);
-        if !due || self.has_claimed(context.now) {
+            .last_plan
+            .is_none_or(|searched| context.now.since(searched) >= PLAN_PERIOD);
+        if !due || self.has_pending_claim(context.now) {
             return;
         }
-        self.planned = Some(context.now);
-        self.balance.weigh(&self.slices);
-        self.evacuate(context, out);
-        if !self.awaits_succession(context.now) {
-            self.even_out(context, out);
+        self.last_plan = Some(context.now);
+        self.balance.update_weights(&self.slices);
+        self.order_mandatory_moves(context, out);
+        if !self.awaits_new_term(context.now) {
+            self.order_balancing_moves(context, out);
         }
     }
 
-    fn evacuate(&mut self, context: &Context<'_>, out: &mut Outbox) {
+    fn order_mandatory_moves(&mut self, context: &Context<'_>, out: &mut Outbox) {
         let due = |(slice, entry): (&SliceId, &super::SliceEntry)| {
             let assignment = entry.assignment().filter(|known| known.confirmed)?;
-            let seat = self.seats.get(&assignment.node)?;
-            let reason = self.leave_reason(context, seat, slice)?;
-            entry.planned.is_none().then(|| (slice.clone(), reason))
+            let peer = self.peers.get(&assignment.node)?;
+            let reason = self.mandatory_reason(context, peer, slice)?;
+            entry
+                .planned_move
+                .is_none()
+                .then(|| (slice.clone(), reason))
         };
         let leaving: Vec<_> = self.slices.iter().filter_map(due).collect();
         for (slice, reason) in leaving {
@@ -56,36 +60,38 @@
                 MoveReason::Withdrawn => None,
                 _ => self.choose_node(context, &slice),
             };
-            // Where no other node can take it, the slice stays served until one can.
+            // If no other node can take the slice, it stays with its holder until one can.
             if target.is_some() || reason == MoveReason::Withdrawn || context.leaving {
                 self.order_move(context, &slice, target, reason, out);
             }
         }
     }
 
-    fn leave_reason(
+    fn mandatory_reason(
         &self,
         context: &Context<'_>,
-        seat: &Seat,
+        peer: &PeerEntry,
         slice: &SliceId,
     ) -> Option<MoveReason> {
         context.intent?;
         if !self.divisions.has_slice(context, slice) {
             return Some(MoveReason::Withdrawn);
         }
-        if !context.is_in_service(&seat.member) {
+        if !context.is_in_service(&peer.member) {
             return Some(MoveReason::OutOfService);
         }
-        (seat.is_leaving() || seat.is_draining()).then_some(MoveReason::Leaving)
+        (peer.is_leaving() || peer.is_draining()).then_some(MoveReason::Leaving)
     }
 
-    fn even_out(&mut self, context: &Context<'_>, out: &mut Outbox) {
-        let rested = self
+    fn order_balancing_moves(&mut self, context: &Context<'_>, out: &mut Outbox) {
+        let interval_passed = self
             .balance
-            .moved
-            .is_none_or(|moved| context.now.since(moved) >= MOVE_PERIOD);
-        let running = |entry: &&super::SliceEntry| entry.planned.is_some();
-        if !rested || self.slices.values().filter(running).count() >= MOVES_AT_ONCE {
+            .last_move
+            .is_none_or(|moved| context.now.since(moved) >= MIN_MOVE_INTERVAL);
+        let in_progress = |entry: &&super::SliceEntry| entry.planned_move.is_some();
+        if !interval_passed
+            || self.slices.values().filter(in_progress).count() >= MAX_CONCURRENT_MOVES
+        {
             return;
         }
         let Some(intent) = context.intent else {
@@ -93,40 +99,40 @@
         };
         for service in &intent.document.services {
             let Some((slice, target, reason)) = self.best_move(context, &service.name) else {
-                self.balance.uneven.remove(&service.name);
+                self.balance.uneven_since.remove(&service.name);
                 continue;
             };
             let since = *self
                 .balance
-                .uneven
+                .uneven_since
                 .entry(service.name.clone())
                 .or_insert(context.now);
-            if context.now.since(since) >= UNEVEN_TIME {
-                self.balance.moved = Some(context.now);
+            if context.now.since(since) >= MIN_UNEVEN_TIME {
+                self.balance.last_move = Some(context.now);
                 self.order_move(context, &slice, Some(target), reason, out);
                 return;
             }
         }
     }
 
-    /// Finds the move from the fullest to the emptiest node that gains most. All slices hold about
-    /// as many keys, so the gain by slice is the gain by moved key.
+    /// Finds the move from the fullest to the emptiest node with the greatest gain. All slices hold
+    /// about the same number of keys, so the gain per slice is also the gain per moved key.
     fn best_move(
         &self,
         context: &Context<'_>,
         service: &ServiceName,
     ) -> Option<(SliceId, NodeName, MoveReason)> {
-        if !self.is_settled(service) {
+        if !self.is_fully_granted(service) {
             return None;
         }
-        let able = self
-            .seats
+        let eligible = self
+            .peers
             .iter()
-            .filter(|(_, seat)| self.can_hold(context, seat, service));
-        let mut shares: Vec<(f32, f32, &NodeName)> = able
-            .map(|(node, seat)| {
-                let capacity = seat.capacity().0 as f32;
-                (self.weight_of(node, service) / capacity, capacity, node)
+            .filter(|(_, peer)| self.can_hold(context, peer, service));
+        let mut shares: Vec<(f32, f32, &NodeName)> = eligible
+            .map(|(node, peer)| {
+                let capacity = peer.capacity().0 as f32;
+                (self.node_weight(node, service) / capacity, capacity, node)
             })
             .collect();
         shares.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.2.cmp(b.2)));
@@ -139,24 +145,25 @@
         let owned = self.slices.iter().filter(|(slice, entry)| {
             let assignment = entry.assignment();
             slice.service == *service
-                && entry.planned.is_none()
+                && entry.planned_move.is_none()
                 && assignment.is_some_and(|known| known.confirmed && known.node == *source)
         });
         let best = owned
             .map(|(slice, _)| (gain(self.balance.weight(slice)), slice))
             .max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(a.1)))?;
         let (gained, slice) = best;
-        let even = (high * high_capacity - low * low_capacity).abs() < 2.0;
-        let reason = if even {
+        let similar_weights = (high * high_capacity - low * low_capacity).abs() < 2.0;
+        let reason = if similar_weights {
             MoveReason::Load
         } else {
             MoveReason::Share
         };
-        (gained >= LEAST_GAIN).then(|| (slice.clone(), target.clone(), reason))
+        (gained >= MIN_GAIN_SLICES).then(|| (slice.clone(), target.clone(), reason))
     }
 
-    /// Tells whether every slice of a service has a holder; until then the free ones even it out.
-    fn is_settled(&self, service: &ServiceName) -> bool {
+    /// Returns whether every slice of a service has a holder. Until then, granting the free slices
+    /// evens out the load.
+    fn is_fully_granted(&self, service: &ServiceName) -> bool {
         let own = self
             .slices
             .iter()
@@ -165,17 +172,17 @@
             .all(|entry| matches!(entry.state, SliceState::Granted(_)))
     }
 
-    /// Tells whether a node still holds or awaits a slice, or a move has not come to its end. A
-    /// controller that left before would leave the slice to the two-lease wait of its successor.
+    /// Returns whether a node still holds or awaits a slice, or any move is unfinished. If a
+    /// controller left earlier, the slice would wait two lease times under its successor.
     pub(in crate::ownership::machine) fn has_unfinished_moves(&self, node: &NodeName) -> bool {
-        let open = |entry: &super::SliceEntry| {
+        let unfinished = |entry: &super::SliceEntry| {
             let assignment = entry.assignment();
-            let taking = assignment.is_some_and(|known| !known.confirmed);
+            let unconfirmed = assignment.is_some_and(|known| !known.confirmed);
             entry.destination() == Some(node)
-                || entry.planned.is_some()
-                || (taking && entry.previous.is_some())
+                || entry.planned_move.is_some()
+                || (unconfirmed && entry.previous.is_some())
         };
-        self.slices.values().any(open)
+        self.slices.values().any(unfinished)
     }
 
     fn order_move(
@@ -192,7 +199,7 @@
         let Some(assignment) = entry.assignment().cloned() else {
             return;
         };
-        entry.planned = Some(PlannedMove {
+        entry.planned_move = Some(PlannedMove {
             target: target.clone(),
         });
         out.explain(Happening::MoveOrdered {
@@ -202,6 +209,6 @@
             to: target,
             reason,
         });
-        self.prompt(context, &assignment.node, out);
+        self.request_heartbeat(context, &assignment.node, out);
     }
 }
--- a/crates/core/src/ownership/machine/controller/placement.rs
+++ b/crates/core/src/ownership/machine/controller/placement.rs
@@ -1,4 +1,4 @@
-//! Which node gets a slice.
+//! Chooses the node for each slice.
 
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use super::Context;
 use super::Controller;
 use super::Outbox;
-use super::Seat;
+use super::PeerEntry;
 use super::SliceState;
 use crate::explain::Happening;
 use crate::ids::NodeName;
@@ -15,87 +15,88 @@
 use crate::ids::SliceId;
 use crate::ids::ZoneName;
 
-/// How long a new controller waits for the nodes it knows before it grants free slices.
-const ASSEMBLY_TIME: Duration = Duration::from_millis(250);
-/// How long a node that refused a grant gets no other one.
+/// How long a new controller waits for all the nodes it knows before it grants free slices.
+const KNOWN_PEERS_WAIT: Duration = Duration::from_millis(250);
+/// How long a node gets no new grant after it refused one.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(500);
 
 impl Controller {
     /// Grants every free slice that some node can hold.
-    pub(super) fn grant_free(&mut self, context: &Context<'_>, out: &mut Outbox) {
-        if self.established.is_none() || !self.is_in_authority(context) {
+    pub(super) fn grant_free_slices(&mut self, context: &Context<'_>, out: &mut Outbox) {
+        if self.established.is_none() || !self.has_authority(context) {
             return;
         }
-        if self.awaits_members(context) {
+        if self.awaits_known_peers(context) {
             return;
         }
-        self.cancel_unsent(context.now);
+        self.cancel_unsent_grants(context.now);
         let free = |(slice, entry): (&SliceId, &super::SliceEntry)| {
             matches!(entry.state, SliceState::Free).then(|| slice.clone())
         };
         let free: Vec<SliceId> = self.slices.iter().filter_map(free).collect();
-        let mut prompted: Vec<NodeName> = Vec::new();
+        let mut granted: Vec<NodeName> = Vec::new();
         for slice in free {
             if let Some(node) = self.grant(context, &slice, out) {
-                prompted.push(node);
+                granted.push(node);
             }
         }
-        prompted.sort();
-        prompted.dedup();
-        for node in prompted {
-            self.prompt(context, &node, out);
+        granted.sort();
+        granted.dedup();
+        for node in granted {
+            self.request_heartbeat(context, &node, out);
         }
     }
 
-    /// Tells whether nodes that the term names may still show themselves. Granting to the first few
-    /// alone would make most slices move again a moment later.
-    fn awaits_members(&self, context: &Context<'_>) -> bool {
-        let begun = self
+    /// Returns whether nodes that the term names may still send their first heartbeat. Granting
+    /// only to the first few would make most slices move again shortly afterwards.
+    fn awaits_known_peers(&self, context: &Context<'_>) -> bool {
+        let recent = self
             .established
-            .is_some_and(|established| context.now.since(established) < ASSEMBLY_TIME);
-        begun && self.seats.values().any(|seat| seat.profile.is_none())
+            .is_some_and(|established| context.now.since(established) < KNOWN_PEERS_WAIT);
+        recent && self.peers.values().any(|peer| peer.profile.is_none())
     }
 
-    /// Tells whether a node may hold slices of a service.
+    /// Returns whether a node may hold slices of a service.
     pub(super) fn can_hold(
         &self,
         context: &Context<'_>,
-        seat: &Seat,
+        peer: &PeerEntry,
         service: &ServiceName,
     ) -> bool {
-        let Some(profile) = &seat.profile else {
+        let Some(profile) = &peer.profile else {
             return false;
         };
-        let beside = profile.member.service.as_ref() == Some(service);
-        let refused = seat
-            .refused
+        let serves = profile.member.service.as_ref() == Some(service);
+        let refused = peer
+            .refused_at
             .is_some_and(|refused| context.now.since(refused) < REFUSAL_PAUSE);
-        beside
+        serves
             && !refused
-            && !seat.is_leaving()
-            && !seat.is_draining()
+            && !peer.is_leaving()
+            && !peer.is_draining()
             && context.is_in_service(&profile.member)
-            && seat.is_heard_within(context.now, self.times().lease() * 3 / 4)
-            && seat.hears_within(context.now, self.times().lease())
+            && peer.is_responsive_within(context.now, self.times().lease() * 3 / 4)
+            && peer.is_reached_within(context.now, self.times().lease())
     }
 
-    /// Chooses the node that would have the least for what it bears, and among equals the zone
-    /// that would.
+    /// Chooses the node with the lowest load relative to its capacity, counting the new slice.
+    /// Among equals it chooses the zone with the lowest load.
     pub(super) fn choose_node(&self, context: &Context<'_>, slice: &SliceId) -> Option<NodeName> {
-        let able = self
-            .seats
+        let eligible = self
+            .peers
             .iter()
-            .filter(|(_, seat)| self.can_hold(context, seat, &slice.service));
-        let ranked = able.map(|(node, seat)| {
-            let share = (self.weight_of(node, &slice.service) + 1.0) / seat.capacity().0 as f32;
-            let zone = self.zone_weight(&seat.member.zone, &slice.service);
+            .filter(|(_, peer)| self.can_hold(context, peer, &slice.service));
+        let ranked = eligible.map(|(node, peer)| {
+            let share = (self.node_weight(node, &slice.service) + 1.0) / peer.capacity().0 as f32;
+            let zone = self.zone_weight(&peer.member.zone, &slice.service);
             (share, zone, node)
         });
         ranked.min_by(compare).map(|(_, _, node)| node.clone())
     }
 
-    /// Sums up the slices of a service that a node has or will have, weighed by their load.
-    pub(super) fn weight_of(&self, node: &NodeName, service: &ServiceName) -> f32 {
+    /// Returns the total weight of a service's slices that a node holds or will hold after the
+    /// planned moves.
+    pub(super) fn node_weight(&self, node: &NodeName, service: &ServiceName) -> f32 {
         let own = self.slices.iter().filter(|(slice, entry)| {
             slice.service == *service && entry.destination() == Some(node)
         });
@@ -103,11 +104,13 @@
     }
 
     fn zone_weight(&self, zone: &ZoneName, service: &ServiceName) -> f32 {
-        let inside = self
-            .seats
+        let in_zone = self
+            .peers
             .iter()
-            .filter(|(_, seat)| seat.member.zone == *zone);
-        inside.map(|(node, _)| self.weight_of(node, service)).sum()
+            .filter(|(_, peer)| peer.member.zone == *zone);
+        in_zone
+            .map(|(node, _)| self.node_weight(node, service))
+            .sum()
     }
 
     fn grant(
@@ -119,26 +122,26 @@
         if !self.divisions.has_slice(context, slice) {
             return None;
         }
-        let planned = self.slices.get(slice)?.planned.as_ref();
+        let planned = self.slices.get(slice)?.planned_move.as_ref();
         let planned = planned.and_then(|plan| plan.target.clone());
-        let able = |node: &NodeName| {
-            let seat = self.seats.get(node);
-            seat.is_some_and(|seat| self.can_hold(context, seat, &slice.service))
+        let eligible = |node: &NodeName| {
+            let peer = self.peers.get(node);
+            peer.is_some_and(|peer| self.can_hold(context, peer, &slice.service))
         };
         let node = planned
-            .filter(able)
+            .filter(eligible)
             .or_else(|| self.choose_node(context, slice))?;
-        let incarnation = self.seats.get(&node)?.member.incarnation;
-        self.sequence = self.sequence.next();
-        let fence = self.ballot.fence(self.sequence);
+        let incarnation = self.peers.get(&node)?.member.incarnation;
+        self.last_sequence = self.last_sequence.next();
+        let fence = self.ballot.fence(self.last_sequence);
         let entry = self.slices.get_mut(slice)?;
-        entry.planned = None;
+        entry.planned_move = None;
         entry.state = SliceState::Granted(Assignment {
             node: node.clone(),
             incarnation,
             fence,
             confirmed: false,
-            end: None,
+            latest_end: None,
         });
         self.fences.insert(fence, slice.clone());
         out.explain(Happening::SliceGranted {
--- a/crates/core/src/ownership/machine/controller/records.rs
+++ b/crates/core/src/ownership/machine/controller/records.rs
@@ -1,10 +1,10 @@
-//! What a controller writes into the log.
+//! Records that a controller appends to the log.
 
 use std::time::Duration;
 
 use super::Context;
 use super::Controller;
-use super::Seat;
+use super::PeerEntry;
 use super::SliceState;
 use super::build_claim;
 use super::choose_voters;
@@ -16,85 +16,89 @@
 use crate::ownership::record::Claim;
 use crate::time::Moment;
 
-/// How often the term in force is repeated for readers whose offset expires.
+/// Interval between checkpoints, for readers whose offset has expired.
 const CHECKPOINT_PERIOD: Duration = Duration::from_millis(30_000);
-/// The shortest time between two checkpoints, for a log that comes and goes.
-const RETURN_PERIOD: Duration = Duration::from_millis(2_000);
-/// How long a reason for a new term must last, so that a restart in passing costs none.
-const SUCCESSION_DELAY: Duration = Duration::from_millis(2_000);
-/// How long a claim may take to win its term before it is made again.
-const CLAIM_TIME: Duration = Duration::from_millis(5_000);
-/// How long moves wait for a claim; if the log takes longer, service orders go first.
-const CLAIM_REST: Duration = Duration::from_millis(1_000);
+/// Shortest interval between checkpoints, for a log that is repeatedly unreachable.
+const MIN_CHECKPOINT_INTERVAL: Duration = Duration::from_millis(2_000);
+/// How long a reason for a new term must last, so that a brief restart causes none.
+const NEW_TERM_DELAY: Duration = Duration::from_millis(2_000);
+/// How long a claim may take to win its term before it is repeated.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// How long moves wait for a claim. If the log takes longer, the orders of operators take
+/// precedence.
+const CLAIM_MOVE_PAUSE: Duration = Duration::from_millis(1_000);
 
 impl Controller {
-    /// Tells whether the log does not say yet that this term is established.
+    /// Returns whether the log is still missing the record that this term is established.
     pub(in crate::ownership::machine) fn needs_established_record(
         &self,
         context: &Context<'_>,
     ) -> bool {
         let term = context.log.term();
-        let open = term.is_some_and(|state| state.term() == self.ballot.term && !state.established);
-        self.is_established() && open && context.log.is_current()
+        let unrecorded =
+            term.is_some_and(|state| state.term() == self.ballot.term && !state.established);
+        self.is_established() && unrecorded && context.log.is_current()
     }
 
-    /// Returns a checkpoint if one is due: now and then, and as soon as the log is back after an
-    /// outage. Everything in it may have expired meanwhile; a node that reads no term and reaches
-    /// nobody would found a cell of its own beside this one.
+    /// Returns a checkpoint if one is due: periodically, and as soon as the log is reachable after
+    /// an outage.
+    ///
+    /// All records may have expired in the meantime. A node that reads no term and reaches no other
+    /// node would start a separate cluster.
     pub(in crate::ownership::machine) fn due_checkpoint(
         &mut self,
         context: &Context<'_>,
     ) -> Option<Checkpoint> {
-        self.log_lost |= !context.log.is_current();
+        self.log_outage |= !context.log.is_current();
         let term = context.log.term()?;
         if !self.is_established() || !term.established || !context.log.is_current() {
             return None;
         }
-        let since = *self.checkpointed.get_or_insert(context.now);
-        let period = if self.log_lost {
-            RETURN_PERIOD
+        let since = *self.last_checkpoint.get_or_insert(context.now);
+        let period = if self.log_outage {
+            MIN_CHECKPOINT_INTERVAL
         } else {
             CHECKPOINT_PERIOD
         };
         if context.now.since(since) < period {
             return None;
         }
-        self.log_lost = false;
-        self.checkpointed = Some(context.now);
+        self.log_outage = false;
+        self.last_checkpoint = Some(context.now);
         Some(Checkpoint {
             next_offset: context.log.next_offset(),
             term: term.clone(),
         })
     }
 
-    /// Returns the claim of the next term if its controllers or voters should be others.
+    /// Returns a claim of the next term if its controllers or voters should change.
     ///
-    /// No slice moves meanwhile: one that has been released and not yet granted when the new term
-    /// begins would wait two lease times, because nobody could report it.
+    /// No slice moves in the meantime: a slice that is released but not granted when the new term
+    /// begins has no holder to report it, so it would wait two lease times.
     pub(in crate::ownership::machine) fn due_claim(
         &mut self,
         context: &Context<'_>,
     ) -> Option<Claim> {
         let wanted = self.is_established()
             && context.log.is_current()
-            && self.needs_succession(context)
-            && self.reaches_voters(context);
+            && self.needs_new_term(context)
+            && self.reaches_majorities(context);
         if !wanted {
-            self.succession_due = None;
+            self.claim_due = None;
             return None;
         }
-        self.succession_due.get_or_insert(context.now);
-        if !self.awaits_succession(context.now) || !self.is_quiet() {
+        self.claim_due.get_or_insert(context.now);
+        if !self.awaits_new_term(context.now) || !self.are_slices_settled() {
             return None;
         }
         let claimed = self
-            .claimed
-            .is_some_and(|claimed| context.now.since(claimed) < CLAIM_TIME);
+            .last_claim
+            .is_some_and(|claimed| context.now.since(claimed) < CLAIM_TIMEOUT);
         if claimed {
             return None;
         }
-        self.claimed = Some(context.now);
-        let members = self.seats.values().map(|seat| seat.member.clone());
+        self.last_claim = Some(context.now);
+        let members = self.peers.values().map(|peer| peer.member.clone());
         let members = members.collect();
         Some(build_claim(
             context,
@@ -104,36 +108,38 @@
         ))
     }
 
-    /// Tells whether voluntary moves wait, so that the slices come to rest for a new term.
-    pub(super) fn awaits_succession(&self, now: Moment) -> bool {
-        self.succession_due
-            .is_some_and(|since| now.since(since) >= SUCCESSION_DELAY)
+    /// Returns whether voluntary moves wait, so that every slice is settled when the new term
+    /// begins.
+    pub(super) fn awaits_new_term(&self, now: Moment) -> bool {
+        self.claim_due
+            .is_some_and(|since| now.since(since) >= NEW_TERM_DELAY)
     }
 
-    /// Tells whether a claim is on its way into the log, so that every move waits.
-    pub(super) fn has_claimed(&self, now: Moment) -> bool {
-        self.claimed
-            .is_some_and(|claimed| now.since(claimed) < CLAIM_REST)
+    /// Returns whether a claim is being appended to the log, so that all moves wait.
+    pub(super) fn has_pending_claim(&self, now: Moment) -> bool {
+        self.last_claim
+            .is_some_and(|claimed| now.since(claimed) < CLAIM_MOVE_PAUSE)
     }
 
-    /// Tells whether a majority of every voter set that the next term needs is heard.
+    /// Returns whether heartbeats arrive from a majority of every voter set that the next term
+    /// needs.
     ///
-    /// A node that is cut off may have claimed a term in the meantime, with voters of its own
-    /// choice. Giving up this term for one that can't be established would stop the whole cell.
-    fn reaches_voters(&self, context: &Context<'_>) -> bool {
-        let quorums = context.log.term().map(|state| state.voter_sets());
-        let heard = |node: &&NodeName| {
-            let seat = self.seats.get(*node);
-            seat.is_some_and(|seat| seat.is_heard_within(context.now, self.times().lease()))
+    /// A partitioned node may have claimed a term in the meantime, with voters that it chose
+    /// itself. Replacing this term by one that cannot be established would stop the whole cluster.
+    fn reaches_majorities(&self, context: &Context<'_>) -> bool {
+        let voter_sets = context.log.term().map(|state| state.voter_sets());
+        let is_responsive = |node: &&NodeName| {
+            let peer = self.peers.get(*node);
+            peer.is_some_and(|peer| peer.is_responsive_within(context.now, self.times().lease()))
         };
-        let reached = |voters: &Vec<NodeName>| {
-            let count = voters.iter().filter(heard).count();
+        let has_majority = |voters: &Vec<NodeName>| {
+            let count = voters.iter().filter(is_responsive).count();
             count * 2 > voters.len()
         };
-        quorums.unwrap_or_default().iter().all(reached)
+        voter_sets.unwrap_or_default().iter().all(has_majority)
     }
 
-    fn needs_succession(&self, context: &Context<'_>) -> bool {
+    fn needs_new_term(&self, context: &Context<'_>) -> bool {
         if self.ballot.rank > Rank(0) || self.times() != context.times() {
             return true;
         }
@@ -146,53 +152,54 @@
         }
         let candidates = self.candidates(context);
         let wanted = choose_voters(interleave_zones(candidates));
-        let lives = |members: &[Member]| -> Vec<(NodeName, crate::ids::Incarnation)> {
-            let life = |member: &Member| (member.node.clone(), member.incarnation);
-            members.iter().map(life).collect()
+        let incarnations = |members: &[Member]| -> Vec<(NodeName, crate::ids::Incarnation)> {
+            let incarnation = |member: &Member| (member.node.clone(), member.incarnation);
+            members.iter().map(incarnation).collect()
         };
-        !wanted.is_empty() && lives(&wanted) != lives(&self.term.claim.voters)
+        !wanted.is_empty() && incarnations(&wanted) != incarnations(&self.term.claim.voters)
     }
 
-    /// Returns the nodes that live and are in service.
+    /// Returns the nodes that are responsive, in service and not leaving.
     fn candidates(&self, context: &Context<'_>) -> Vec<Member> {
-        let lives = |seat: &&Seat| {
-            seat.is_heard_within(context.now, self.times().lease() * 2)
-                && !seat.is_leaving()
-                && context.is_in_service(&seat.member)
+        let is_candidate = |peer: &&PeerEntry| {
+            peer.is_responsive_within(context.now, self.times().lease() * 2)
+                && !peer.is_leaving()
+                && context.is_in_service(&peer.member)
         };
-        let live = self.seats.values().filter(lives);
-        live.map(|seat| seat.member.clone()).collect()
+        let candidates = self.peers.values().filter(is_candidate);
+        candidates.map(|peer| peer.member.clone()).collect()
     }
 
-    /// Tells whether no slice waits, moves or is about to be confirmed; a new term would make it
-    /// wait for longer.
-    fn is_quiet(&self) -> bool {
+    /// Returns whether no slice is waiting, moving or about to be confirmed. A new term would make
+    /// such a slice wait longer.
+    fn are_slices_settled(&self) -> bool {
         self.slices.values().all(|entry| {
-            let rests = match &entry.state {
+            let settled = match &entry.state {
                 SliceState::Granted(assignment) => assignment.confirmed,
                 SliceState::Free => true,
                 _ => false,
             };
-            rests && entry.planned.is_none()
+            settled && entry.planned_move.is_none()
         })
     }
 
-    /// Forgets nodes that have been silent for long.
-    pub(in crate::ownership::machine) fn lost_seats(
+    /// Returns the nodes that have been silent for `span` and hold no slice.
+    pub(in crate::ownership::machine) fn silent_peers(
         &self,
         now: Moment,
         span: Duration,
     ) -> Vec<NodeName> {
-        let lost = self.seats.iter().filter(|(node, seat)| {
+        let silent_peers = self.peers.iter().filter(|(node, peer)| {
             let holds = |entry: &super::SliceEntry| entry.destination() == Some(node);
-            let silent = seat.heard.is_some_and(|heard| now.since(heard) >= span);
+            let silent = peer
+                .last_heartbeat
+                .is_some_and(|received| now.since(received) >= span);
             silent && !self.slices.values().any(holds)
         });
-        lost.map(|(node, _)| node.clone()).collect()
+        silent_peers.map(|(node, _)| node.clone()).collect()
     }
 
-    /// Forgets a node.
-    pub(in crate::ownership::machine) fn remove_seat(&mut self, node: &NodeName) {
-        self.seats.remove(node);
+    pub(in crate::ownership::machine) fn remove_peer(&mut self, node: &NodeName) {
+        self.peers.remove(node);
     }
 }
--- a/crates/core/src/ownership/machine/controller/routing_book.rs
+++ b/crates/core/src/ownership/machine/controller/routing_history.rs
@@ -1,4 +1,4 @@
-//! The versions of the routing table.
+//! Versions of the routing table.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -14,30 +14,30 @@
 use crate::ownership::message::RoutingChange;
 use crate::ownership::message::RoutingDelta;
 
-/// How many changes are kept; a node that lags further gets the whole table.
-const KEPT_CHANGES: usize = 512;
+/// Number of changes kept. A node that lags further behind gets the whole table.
+const MAX_KEPT_CHANGES: usize = 512;
 
-/// Turns a wanted table into numbered changes. Each change makes one version, so that a node can
-/// ask for exactly what it lacks.
+/// Turns each new routing table into numbered changes. Each change makes a new version, so a node
+/// gets exactly the changes that it is missing.
 #[derive(Debug)]
-pub(super) struct RoutingBook {
+pub(super) struct RoutingHistory {
     ballot: Ballot,
     count: u64,
     nodes: BTreeMap<NodeName, u32>,
     services: BTreeMap<ServiceName, u32>,
-    numbers: u32,
+    last_number: u32,
     changes: VecDeque<RoutingChange>,
     view: RoutingReplica,
 }
 
-impl RoutingBook {
+impl RoutingHistory {
     pub(super) fn open(ballot: Ballot) -> Self {
         Self {
             ballot,
             count: 0,
             nodes: BTreeMap::new(),
             services: BTreeMap::new(),
-            numbers: 0,
+            last_number: 0,
             changes: VecDeque::new(),
             view: RoutingReplica::default(),
         }
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Makes `wanted` the newest table and tells whether more than loads changed.
+    /// Makes `wanted` the newest table. Returns whether anything but loads changed.
     pub(super) fn update(&mut self, wanted: &RoutingTable) -> bool {
         let before = self.count;
         self.update_nodes(wanted);
@@ -60,7 +60,7 @@
         self.count - before > loads
     }
 
-    /// Returns what a node with this version lacks.
+    /// Returns the changes that a node with this version is missing.
     pub(super) fn delta_since(&self, known: RoutingVersion) -> Option<RoutingDelta> {
         let version = self.version();
         if self.count == 0 || known >= version {
@@ -69,7 +69,7 @@
         let same = (known.term, known.rank) == (version.term, version.rank);
         let missing = (version.count - known.count.min(version.count)) as usize;
         if !same || known.count == 0 || missing > self.changes.len() {
-            return Some(self.whole());
+            return Some(self.full_delta());
         }
         let from = self.changes.len() - missing;
         Some(RoutingDelta {
@@ -79,7 +79,7 @@
         })
     }
 
-    fn whole(&self) -> RoutingDelta {
+    fn full_delta(&self) -> RoutingDelta {
         let table = self.view.table();
         let mut changes = Vec::new();
         for (name, node) in &table.nodes {
@@ -92,7 +92,7 @@
         }
         for (name, slices) in &table.services {
             if let Some(number) = self.services.get(name) {
-                self.list_service(*number, name, slices, &mut changes);
+                self.append_service(*number, name, slices, &mut changes);
             }
         }
         RoutingDelta {
@@ -102,7 +102,7 @@
         }
     }
 
-    fn list_service(
+    fn append_service(
         &self,
         number: u32,
         name: &ServiceName,
@@ -136,14 +136,14 @@
         self.count += 1;
         self.view.apply_change(&change);
         self.changes.push_back(change);
-        if self.changes.len() > KEPT_CHANGES {
+        if self.changes.len() > MAX_KEPT_CHANGES {
             self.changes.pop_front();
         }
     }
 
-    fn number(&mut self) -> u32 {
-        self.numbers += 1;
-        self.numbers
+    fn allocate_number(&mut self) -> u32 {
+        self.last_number += 1;
+        self.last_number
     }
 
     fn update_nodes(&mut self, wanted: &RoutingTable) {
@@ -160,12 +160,12 @@
         }
         for (name, node) in &wanted.nodes {
             let known = self.view.table().nodes.get(name);
-            if known.is_some_and(|known| is_same_node(known, node)) {
+            if known.is_some_and(|known| is_node_unchanged(known, node)) {
                 continue;
             }
             let number = match self.nodes.get(name) {
                 Some(number) => *number,
-                None => self.number(),
+                None => self.allocate_number(),
             };
             self.nodes.insert(name.clone(), number);
             self.record(RoutingChange::NodeUpdated {
@@ -182,7 +182,7 @@
             let (Some(known), Some(number)) = (known, self.nodes.get(name)) else {
                 continue;
             };
-            if !is_load_apart(known, node) {
+            if !has_load_changed(known, node) {
                 continue;
             }
             let change = RoutingChange::LoadUpdated {
@@ -212,7 +212,7 @@
         for (name, slices) in &wanted.services {
             let number = match self.services.get(name) {
                 Some(number) => *number,
-                None => self.number(),
+                None => self.allocate_number(),
             };
             self.services.insert(name.clone(), number);
             self.update_service(number, name, slices);
@@ -262,19 +262,19 @@
     }
 }
 
-fn is_same_node(known: &RoutingNode, node: &RoutingNode) -> bool {
+fn is_node_unchanged(known: &RoutingNode, node: &RoutingNode) -> bool {
     known.member == node.member && known.in_service == node.in_service
 }
 
-/// Tells whether a load is so far from the published one that callers should know. Small changes
-/// stay out: each goes to every node of the cell.
-fn is_load_apart(known: &RoutingNode, node: &RoutingNode) -> bool {
-    let share = |node: &RoutingNode| node.in_flight.0 * 4 / node.limit.0.max(1);
+/// Returns whether a load differs enough from the published one to publish it. Small changes are
+/// left out, because each change goes to every node of the cluster.
+fn has_load_changed(known: &RoutingNode, node: &RoutingNode) -> bool {
+    let load_quarters = |node: &RoutingNode| node.in_flight.0 * 4 / node.limit.0.max(1);
     let slower = node.latency_us > known.latency_us.saturating_mul(2);
     let faster = known.latency_us > node.latency_us.saturating_mul(2);
     known.state != node.state
         || known.limit.0.abs_diff(node.limit.0) * 4 > known.limit.0
-        || share(known).abs_diff(share(node)) > 1
+        || load_quarters(known).abs_diff(load_quarters(node)) > 1
         || slower
         || faster
 }
--- a/crates/core/src/ownership/machine/controller/routing_wanted.rs
+++ b/crates/core/src/ownership/machine/controller/routing_table.rs
@@ -1,11 +1,11 @@
-//! The routing table that a controller wants in force.
+//! Computes and publishes the routing table.
 
 use std::time::Duration;
 
 use super::Context;
 use super::Controller;
 use super::Outbox;
-use super::Seat;
+use super::PeerEntry;
 use super::SliceState;
 use crate::cluster::RoutingNode;
 use crate::cluster::RoutingTable;
@@ -17,14 +17,14 @@
 use crate::ids::SlotCount;
 use crate::ownership::PeerMessage;
 
-/// After how long a silent node that holds nothing is forgotten.
-const FORGET_TIME: Duration = Duration::from_millis(15_000);
+/// How long a node that holds nothing may be silent before it is removed.
+const FORGET_DELAY: Duration = Duration::from_millis(15_000);
 
 impl Controller {
-    /// Updates the routing table and pushes what changed, if it is more than loads.
+    /// Updates the routing table. Pushes the changes to all nodes if anything but loads changed.
     pub(super) fn publish_routing(&mut self, context: &Context<'_>, out: &mut Outbox) {
-        self.forget_lost(context, out);
-        let wanted = self.wanted_routing(context);
+        self.forget_silent_peers(context, out);
+        let wanted = self.desired_table(context);
         let before = self.routing.version();
         if !self.routing.update(&wanted) {
             return;
@@ -32,31 +32,31 @@
         let Some(delta) = self.routing.delta_since(before) else {
             return;
         };
-        for seat in self.seats.values() {
-            if seat.is_heard_within(context.now, self.times().lease()) {
+        for peer in self.peers.values() {
+            if peer.is_responsive_within(context.now, self.times().lease()) {
                 let message = PeerMessage::Routing(Box::new(delta.clone()));
-                out.send(seat.member.heartbeat, message);
+                out.send(peer.member.heartbeat, message);
             }
         }
     }
 
-    fn forget_lost(&mut self, context: &Context<'_>, out: &mut Outbox) {
-        for node in self.lost_seats(context.now, FORGET_TIME) {
-            if let Some(seat) = self.seats.get(&node) {
+    fn forget_silent_peers(&mut self, context: &Context<'_>, out: &mut Outbox) {
+        for node in self.silent_peers(context.now, FORGET_DELAY) {
+            if let Some(peer) = self.peers.get(&node) {
                 out.explain(Happening::MemberLost {
                     node: node.clone(),
-                    incarnation: seat.member.incarnation,
+                    incarnation: peer.member.incarnation,
                 });
             }
-            self.remove_seat(&node);
+            self.remove_peer(&node);
         }
     }
 
-    fn wanted_routing(&self, context: &Context<'_>) -> RoutingTable {
-        let nodes = self.seats.iter().filter_map(|(name, seat)| {
-            let node = match seat.profile {
-                Some(_) => self.wanted_node(context, seat),
-                None => self.carried_node(context, seat)?,
+    fn desired_table(&self, context: &Context<'_>) -> RoutingTable {
+        let nodes = self.peers.iter().filter_map(|(name, peer)| {
+            let node = match peer.profile {
+                Some(_) => self.routing_node(context, peer),
+                None => self.inherited_node(context, peer)?,
             };
             Some((name.clone(), node))
         });
@@ -76,7 +76,7 @@
         }
         for (slice, entry) in &self.slices {
             let owner = match entry.state {
-                SliceState::Waiting(_) => self.carried_owner(context, slice),
+                SliceState::Unreported(_) => self.inherited_owner(context, slice),
                 _ => {
                     let confirmed = entry.assignment().filter(|known| known.confirmed);
                     confirmed.map(|known| &known.node)
@@ -90,46 +90,46 @@
         table
     }
 
-    /// Tells whether a node may still be taken for what the last controller's table says. Whoever lives
-    /// speaks to this controller within that time; a table without the others would have every ingress
-    /// refuse their requests.
-    fn is_carried(&self, context: &Context<'_>, seat: &Seat) -> bool {
+    /// Returns whether to trust the previous controller's table about a node that has not sent a
+    /// heartbeat yet. Every live node sends one to this controller within the detection time. A
+    /// table without these nodes would make every ingress refuse their requests.
+    fn may_inherit(&self, context: &Context<'_>, peer: &PeerEntry) -> bool {
         let recent = context.now.since(self.opened) < self.times().detection_time();
-        recent && seat.profile.is_none()
+        recent && peer.profile.is_none()
     }
 
-    fn carried_node(&self, context: &Context<'_>, seat: &Seat) -> Option<RoutingNode> {
-        let known = context.routing.nodes.get(&seat.member.node)?;
-        let same = known.member.incarnation == seat.member.incarnation;
-        (same && self.is_carried(context, seat)).then(|| RoutingNode {
+    fn inherited_node(&self, context: &Context<'_>, peer: &PeerEntry) -> Option<RoutingNode> {
+        let known = context.routing.nodes.get(&peer.member.node)?;
+        let same = known.member.incarnation == peer.member.incarnation;
+        (same && self.may_inherit(context, peer)).then(|| RoutingNode {
             in_service: known.in_service && context.is_in_service(&known.member),
             ..known.clone()
         })
     }
 
-    fn carried_owner<'a>(&self, context: &Context<'a>, slice: &SliceId) -> Option<&'a NodeName> {
+    fn inherited_owner<'a>(&self, context: &Context<'a>, slice: &SliceId) -> Option<&'a NodeName> {
         let service = context.routing.services.get(&slice.service)?;
         if service.count != self.divisions.count(&slice.service) {
             return None;
         }
         let owner = service.owners.get(&slice.index)?;
-        let seat = self.seats.get(owner)?;
-        self.is_carried(context, seat).then_some(owner)
+        let peer = self.peers.get(owner)?;
+        self.may_inherit(context, peer).then_some(owner)
     }
 
-    fn wanted_node(&self, context: &Context<'_>, seat: &Seat) -> RoutingNode {
-        let profile = seat.profile.as_ref();
+    fn routing_node(&self, context: &Context<'_>, peer: &PeerEntry) -> RoutingNode {
+        let profile = peer.profile.as_ref();
         let slots = profile.map_or(SlotCount(0), |profile| profile.slots);
         let state = profile.map_or(ServerState::Cold, |profile| profile.state);
-        let load = seat.load.as_ref();
-        let served = seat.member.server.is_some();
+        let load = peer.load.as_ref();
+        let has_server = peer.member.server.is_some();
         RoutingNode {
-            member: seat.member.clone(),
-            in_service: served
-                && !seat.is_leaving()
-                && !seat.is_draining()
-                && context.is_in_service(&seat.member)
-                && seat.is_heard_within(context.now, self.times().lease()),
+            member: peer.member.clone(),
+            in_service: has_server
+                && !peer.is_leaving()
+                && !peer.is_draining()
+                && context.is_in_service(&peer.member)
+                && peer.is_responsive_within(context.now, self.times().lease()),
             state: load.map_or(state, |load| load.state),
             limit: load.map_or(slots, |load| load.limit),
             in_flight: load.map_or(SlotCount(0), |load| load.in_flight),
--- a/crates/core/src/ownership/machine/controller/slice_state.rs
+++ b/crates/core/src/ownership/machine/controller/slice_state.rs
@@ -1,24 +1,25 @@
-//! Where a slice stands at its controller.
+//! The state of a slice at the controller.
 
 use super::Assignment;
 use crate::time::Moment;
 
-/// Is the state of one slice at its controller.
+/// Whether a slice is held, and from when it may be granted.
 #[derive(Clone, Debug)]
 pub(super) enum SliceState {
-    /// Nobody reported it; it may be granted after this moment.
-    Waiting(Moment),
-    /// A holder reported it before the controller had its majority.
+    /// No holder has reported the slice in time; it may be granted after this moment.
+    Unreported(Moment),
+    /// A holder reported the slice before the controller had its majority.
     Reported {
-        /// What was reported.
+        /// The reported grant.
         assignment: Assignment,
-        /// The earliest moment at which the lease can have ended.
-        earliest: Moment,
+        /// The earliest moment at which the lease may have ended.
+        earliest_end: Moment,
     },
-    /// It may be granted.
+    /// The slice may be granted.
     Free,
-    /// It is granted.
+    /// The slice is granted.
     Granted(Assignment),
-    /// Its silent holder's lease lapsed; it may be granted after a majority round begun later.
+    /// The lease of a silent holder has lapsed at this moment. The slice may be granted once a
+    /// majority acknowledges a message sent later.
     Lapsed(Moment),
 }
--- a/crates/core/src/ownership/machine/controller/takeover.rs
+++ b/crates/core/src/ownership/machine/controller/takeover.rs
@@ -1,4 +1,4 @@
-//! How a controller comes to its authority.
+//! How a controller gains authority and takes over the existing leases.
 
 use super::Assignment;
 use super::Context;
@@ -15,10 +15,10 @@
 use crate::time::Moment;
 
 impl Controller {
-    /// Begins to govern once a majority of every voter set acknowledged messages of the last lease
-    /// time.
+    /// Starts granting once a majority of every voter set has acknowledged messages sent within the
+    /// last lease time.
     pub(super) fn try_establish(&mut self, context: &Context<'_>, out: &mut Outbox) {
-        if !self.is_in_authority(context) {
+        if !self.has_authority(context) {
             return;
         }
         self.established = Some(context.now);
@@ -29,27 +29,27 @@
         for entry in self.slices.values_mut() {
             let SliceState::Reported {
                 assignment,
-                earliest,
+                earliest_end,
             } = &entry.state
             else {
                 continue;
             };
-            // A lease that may have ended before the majority may have been granted to another
-            // node by the old controller, which still had its own majority then.
-            let extends = context.now < *earliest || !context.rules.timely_majority;
-            entry.state = if extends {
+            // If the lease may have ended before the majority, the old controller, which still had
+            // its own majority then, may have granted the slice to another node.
+            let still_held = context.now < *earliest_end || !context.rules.timely_majority;
+            entry.state = if still_held {
                 SliceState::Granted(assignment.clone())
             } else {
-                SliceState::Waiting(context.now + self.term.unreported_wait.as_duration())
+                SliceState::Unreported(context.now + self.term.unreported_wait.as_duration())
             };
         }
         self.index_fences();
         self.sync_slices(context);
-        self.answer_waiting(context, out);
+        self.answer_pending_heartbeats(context, out);
     }
 
-    /// Uses only this term's voters once the log says that the term is established.
-    pub(super) fn narrow_quorums(&mut self, context: &Context<'_>) {
+    /// Requires only this term's voters once the log records the term as established.
+    pub(super) fn narrow_voter_sets(&mut self, context: &Context<'_>) {
         let established = context
             .log
             .term()
@@ -63,11 +63,11 @@
         }
     }
 
-    /// Returns until when a slice waits that nobody reports.
+    /// Returns until when an unreported slice stays ungranted; `None` if there is no need to wait.
     ///
-    /// An older controller may believe in its authority for one lease after this one's majority,
-    /// and a lease given at its end lasts another. Granting sooner would make a second owner. The
-    /// controller of the very first term has none before it.
+    /// An older controller may assume authority for one lease time after this controller's
+    /// majority, and a lease granted at the end of that time lasts one more. Granting earlier would
+    /// create a second owner. The first controller of the first term has no predecessor.
     pub(super) fn unreported_until(&self, context: &Context<'_>) -> Option<Moment> {
         let established = self.established?;
         if self.term.is_first() && self.ballot.rank == Rank(0) {
@@ -81,46 +81,46 @@
         Some(established + wait)
     }
 
-    /// Takes the report of one lease.
-    pub(super) fn take_holding(
+    /// Records one reported lease.
+    pub(super) fn record_lease(
         &mut self,
         context: &Context<'_>,
         node: &NodeName,
         incarnation: Incarnation,
-        heard: Moment,
-        holding: &LeaseReport,
+        received: Moment,
+        report: &LeaseReport,
     ) {
         let assignment = Assignment {
             node: node.clone(),
             incarnation,
-            fence: holding.fence,
-            confirmed: holding.confirmed,
-            end: Some(context.now + holding.remaining.as_duration() + self.times().margin()),
+            fence: report.fence,
+            confirmed: report.confirmed,
+            latest_end: Some(context.now + report.remaining.as_duration() + self.times().margin()),
         };
-        let earliest = heard + holding.remaining.as_duration();
-        if let Some(entry) = self.slices.get(&holding.slice) {
+        let earliest_end = received + report.remaining.as_duration();
+        if let Some(entry) = self.slices.get(&report.slice) {
             let known = match &entry.state {
-                SliceState::Waiting(_) => None,
+                SliceState::Unreported(_) => None,
                 SliceState::Reported { assignment, .. } => Some(assignment.fence),
                 _ => return,
             };
-            if known.is_some_and(|known| known >= holding.fence) {
+            if known.is_some_and(|known| known >= report.fence) {
                 return;
             }
         }
         let state = match self.established {
             None => SliceState::Reported {
                 assignment,
-                earliest,
+                earliest_end,
             },
-            Some(at) if at < earliest || !context.rules.timely_majority => {
-                self.fences.insert(holding.fence, holding.slice.clone());
+            Some(at) if at < earliest_end || !context.rules.timely_majority => {
+                self.fences.insert(report.fence, report.slice.clone());
                 SliceState::Granted(assignment)
             }
             Some(_) => return,
         };
         let entry = SliceEntry::open(state, GrantReason::Unreported, None);
-        self.slices.insert(holding.slice.clone(), entry);
+        self.slices.insert(report.slice.clone(), entry);
     }
 
     fn index_fences(&mut self) {
