--- a/crates/core/src/ownership/machine/controller/heartbeats.rs
+++ b/crates/core/src/ownership/machine/controller/heartbeats.rs
@@ -108,7 +108,7 @@
         let Some(leases) = &heartbeat.leases else {
             return true;
         };
-        let Some(received) = self.authority.sent_at(heartbeat.round) else {
+        let Some(round_sent) = self.authority.sent_at(heartbeat.round) else {
             if leases.is_empty() {
                 return true;
             }
@@ -121,7 +121,7 @@
                 context,
                 &heartbeat.node,
                 heartbeat.incarnation,
-                received,
+                round_sent,
                 report,
             );
         }
--- a/crates/core/src/ownership/machine/controller/records.rs
+++ b/crates/core/src/ownership/machine/controller/records.rs
@@ -24,8 +24,8 @@
 const NEW_TERM_DELAY: Duration = Duration::from_millis(2_000);
 /// How long a claim may take to win its term before it is repeated.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(5_000);
-/// How long moves wait for a claim. If the log takes longer, the orders of operators take
-/// precedence.
+/// How long moves wait for a claim. If the log takes longer, orders that take a zone or server out
+/// of service take precedence.
 const CLAIM_MOVE_PAUSE: Duration = Duration::from_millis(1_000);
 
 impl Controller {
--- a/crates/core/src/ownership/machine/controller/routing_history.rs
+++ b/crates/core/src/ownership/machine/controller/routing_history.rs
@@ -27,7 +27,7 @@
     services: BTreeMap<ServiceName, u32>,
     last_number: u32,
     changes: VecDeque<RoutingChange>,
-    view: RoutingReplica,
+    replica: RoutingReplica,
 }
 
 impl RoutingHistory {
@@ -39,7 +39,7 @@
             services: BTreeMap::new(),
             last_number: 0,
             changes: VecDeque::new(),
-            view: RoutingReplica::default(),
+            replica: RoutingReplica::default(),
         }
     }
 
@@ -80,7 +80,7 @@
     }
 
     fn full_delta(&self) -> RoutingDelta {
-        let table = self.view.table();
+        let table = self.replica.table();
         let mut changes = Vec::new();
         for (name, node) in &table.nodes {
             if let Some(number) = self.nodes.get(name) {
@@ -134,7 +134,7 @@
 
     fn record(&mut self, change: RoutingChange) {
         self.count += 1;
-        self.view.apply_change(&change);
+        self.replica.apply_change(&change);
         self.changes.push_back(change);
         if self.changes.len() > MAX_KEPT_CHANGES {
             self.changes.pop_front();
@@ -159,7 +159,7 @@
             }
         }
         for (name, node) in &wanted.nodes {
-            let known = self.view.table().nodes.get(name);
+            let known = self.replica.table().nodes.get(name);
             if known.is_some_and(|known| is_node_unchanged(known, node)) {
                 continue;
             }
@@ -178,7 +178,7 @@
     fn update_loads(&mut self, wanted: &RoutingTable) -> u64 {
         let before = self.count;
         for (name, node) in &wanted.nodes {
-            let known = self.view.table().nodes.get(name);
+            let known = self.replica.table().nodes.get(name);
             let (Some(known), Some(number)) = (known, self.nodes.get(name)) else {
                 continue;
             };
@@ -220,7 +220,7 @@
     }
 
     fn update_service(&mut self, service: u32, name: &ServiceName, slices: &ServiceSlices) {
-        let known = self.view.table().services.get(name).cloned();
+        let known = self.replica.table().services.get(name).cloned();
         let known = known.unwrap_or_default();
         if known.count != slices.count {
             self.record(RoutingChange::ServiceUpdated {
--- a/crates/core/src/ownership/machine/controller/takeover.rs
+++ b/crates/core/src/ownership/machine/controller/takeover.rs
@@ -87,7 +87,7 @@
         context: &Context<'_>,
         node: &NodeName,
         incarnation: Incarnation,
-        received: Moment,
+        round_sent: Moment,
         report: &LeaseReport,
     ) {
         let assignment = Assignment {
@@ -97,7 +97,7 @@
             confirmed: report.confirmed,
             latest_end: Some(context.now + report.remaining.as_duration() + self.times().margin()),
         };
-        let earliest_end = received + report.remaining.as_duration();
+        let earliest_end = round_sent + report.remaining.as_duration();
         if let Some(entry) = self.slices.get(&report.slice) {
             let known = match &entry.state {
                 SliceState::Unreported(_) => None,
