--- a/crates/core/src/traffic/admission/admission_action.rs
+++ b/crates/core/src/traffic/admission/admission_action.rs
@@ -1,13 +1,13 @@
-//! What admission asks for.
+//! Outputs of admission control.
 
 use super::Ticket;
 use crate::traffic::refusal::RefusalCode;
 
-/// Is one output of [`super::Admission`].
+/// An action that [`super::Admission`] requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionAction {
     /// The request has a slot and may be sent.
     Admit(Ticket),
-    /// The request is refused; nothing of it was sent.
+    /// The request is refused; no part of it was sent.
     Refuse(Ticket, RefusalCode),
 }
--- a/crates/core/src/traffic/admission/admission_machine.rs
+++ b/crates/core/src/traffic/admission/admission_machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of admission.
+//! The state machine of admission control.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,32 +19,32 @@
 use crate::traffic::refusal::RefusalCode;
 use crate::traffic::retry::LatencyWindow;
 
-/// How many requests may wait for each slot; more would only wait longer than their retry
-/// elsewhere takes.
-const WAITING_PER_SLOT: usize = 2;
+/// How many requests may wait for each slot. Any more would wait longer than a retry at another
+/// node takes.
+const QUEUED_PER_SLOT: usize = 2;
 
-/// How many latencies are kept, and how long: a change must show within a second.
-const KEPT: usize = 64;
-/// See [`KEPT`].
-const RECENT: Duration = Duration::from_secs(1);
-/// How many times the time until it was given up a request would have taken, as a guess: at least
-/// once, and a straggler's far more.
-const GIVEN_UP: u32 = 2;
+/// How many latencies are kept.
+const MAX_LATENCIES: usize = 64;
+/// How long latencies are kept: a change must show within a second.
+const MAX_LATENCY_AGE: Duration = Duration::from_secs(1);
+/// Assumed ratio of an abandoned request's full latency to the time until it was abandoned. The
+/// true ratio is at least one, and far higher at a straggler.
+const ABANDONED_LATENCY_FACTOR: u32 = 2;
 
-/// Decides which requests go to the backend server beside the node, and when.
+/// Decides which requests are sent to the local backend server, and when.
 ///
-/// A slot is held from the moment a request is admitted until its end is known for certain: also
-/// when its caller has gone or its deadline has passed, because a frozen backend server that thaws
-/// goes on with what it had.
+/// A request holds its slot from its admission until its end is certain, even after its caller
+/// disconnects or its deadline passes, because a suspended backend server continues its requests
+/// when it resumes.
 #[derive(Clone, Debug)]
 pub struct Admission {
     server: Option<Server>,
-    line: WaitQueue,
+    queue: WaitQueue,
     running: BTreeMap<Ticket, AdmittedRequest>,
-    /// The latencies of answers.
-    answered: LatencyWindow,
-    /// The same, with guesses for requests that were given up.
-    judged: LatencyWindow,
+    /// Latencies of responses.
+    measured: LatencyWindow,
+    /// The same, with estimates for abandoned requests.
+    estimated: LatencyWindow,
 }
 
 #[derive(Clone, Debug)]
@@ -57,94 +57,102 @@
     fn default() -> Self {
         Self {
             server: None,
-            line: WaitQueue::default(),
+            queue: WaitQueue::default(),
             running: BTreeMap::new(),
-            answered: recent_latencies(),
-            judged: recent_latencies(),
+            measured: recent_latencies(),
+            estimated: recent_latencies(),
         }
     }
 }
 
 impl Admission {
-    /// Takes one event and returns what follows from it.
+    /// Handles an event and returns the resulting actions.
     pub fn step(&mut self, now: Moment, event: AdmissionEvent) -> Vec<AdmissionAction> {
         let mut actions = Vec::new();
         match event {
-            AdmissionEvent::Arrived(work) => self.arrive(now, work, &mut actions),
-            AdmissionEvent::Cancelled(ticket) => self.line.remove(ticket),
+            AdmissionEvent::Arrived(request) => self.arrive(now, request, &mut actions),
+            AdmissionEvent::Cancelled(ticket) => self.queue.remove(ticket),
             AdmissionEvent::Ended { ticket, outcome } => self.end(now, ticket, outcome),
-            AdmissionEvent::ServerAnnounced(profile) => self.announce(profile),
+            AdmissionEvent::ServerAnnounced(profile) => self.update_profile(profile),
             AdmissionEvent::ServerRestored => {
                 if let Some(server) = &mut self.server {
-                    server.limiter.start_slowly();
+                    server.limiter.reset_limit();
                 }
             }
             AdmissionEvent::Tick => {}
         }
-        self.drop_hopeless(now, &mut actions);
+        self.refuse_late(now, &mut actions);
         self.admit_waiting(now, &mut actions);
         actions
     }
 
-    /// Returns the current limit.
+    /// Returns the current limit of concurrent requests.
     pub fn limit(&self) -> SlotCount {
         let server = self.server.as_ref();
         server.map_or(SlotCount(0), |server| server.limiter.limit())
     }
 
-    /// Returns how many slots are held.
+    /// Returns how many slots are in use.
     pub fn in_flight(&self) -> SlotCount {
         SlotCount(self.running.len() as u32)
     }
 
     /// Returns how many requests wait.
     pub fn waiting(&self) -> usize {
-        self.line.len()
+        self.queue.len()
     }
 
-    /// Returns the backend server's condition as judged from its answers.
+    /// Returns the backend server's state as inferred from its responses.
     pub fn state(&self) -> ServerState {
         let server = self.server.as_ref();
         server.map_or(ServerState::Cold, |server| server.limiter.state())
     }
 
-    /// Returns the recent median latency. Requests that have been running for longer count too:
-    /// a backend server that stopped answering shows no latency in its answers.
+    /// Returns the recent median latency, or the median age of the running requests if that is
+    /// longer: a backend server that has stopped responding yields no new latencies.
     pub fn latency(&self, now: Moment) -> Duration {
-        let judged = self.judged.median();
+        let estimated = self.estimated.median();
         let mut ages: Vec<Duration> = self
             .running
             .values()
-            .map(|begun| now.since(begun.at))
+            .map(|admitted| now.since(admitted.admitted_at))
             .collect();
         ages.sort_unstable();
         let age = ages.get(ages.len() / 2).copied().unwrap_or_default();
-        judged.max(age)
+        estimated.max(age)
     }
 
-    fn arrive(&mut self, now: Moment, work: AdmissionRequest, actions: &mut Vec<AdmissionAction>) {
+    fn arrive(
+        &mut self,
+        now: Moment,
+        request: AdmissionRequest,
+        actions: &mut Vec<AdmissionAction>,
+    ) {
         let Some(server) = &self.server else {
-            actions.push(AdmissionAction::Refuse(work.ticket, RefusalCode::NotReady));
+            actions.push(AdmissionAction::Refuse(
+                request.ticket,
+                RefusalCode::NotReady,
+            ));
             return;
         };
-        if self.waits_too_long(now, &work) {
+        if self.would_miss_deadline(now, &request) {
             let code = RefusalCode::DeadlineNotRun;
-            actions.push(AdmissionAction::Refuse(work.ticket, code));
+            actions.push(AdmissionAction::Refuse(request.ticket, code));
             return;
         }
-        let room = server.profile.slots.0 as usize * WAITING_PER_SLOT;
-        // Low priority may fill only half of the line, so that it is shed before the wait of
-        // the others grows.
-        if work.priority == Priority::Low && self.line.len() * 2 >= room {
+        let capacity = server.profile.slots.0 as usize * QUEUED_PER_SLOT;
+        // Low priority may fill only half of the queue, so that it is shed before the others
+        // have to wait longer.
+        if request.priority == Priority::Low && self.queue.len() * 2 >= capacity {
             actions.push(AdmissionAction::Refuse(
-                work.ticket,
+                request.ticket,
                 RefusalCode::Overloaded,
             ));
             return;
         }
-        self.line.insert(work);
-        if self.line.len() > room
-            && let Some(last) = self.line.pop_last()
+        self.queue.insert(request);
+        if self.queue.len() > capacity
+            && let Some(last) = self.queue.pop_last()
         {
             actions.push(AdmissionAction::Refuse(
                 last.ticket,
@@ -153,78 +161,82 @@
         }
     }
 
-    /// Tells whether the work's turn would come too late; refusing it now lets its caller go
-    /// elsewhere while there is time.
-    fn waits_too_long(&self, now: Moment, work: &AdmissionRequest) -> bool {
-        let answer = self.answer_time();
+    /// Returns whether the request would start too late to meet its deadline. Refusing it now
+    /// leaves its caller time for a retry at another node.
+    fn would_miss_deadline(&self, now: Moment, request: &AdmissionRequest) -> bool {
+        let latency = self.expected_latency();
         let limit = self.limit().0.max(1);
         if self.in_flight().0 < limit {
-            return work.deadline <= now + answer;
+            return request.deadline <= now + latency;
         }
-        let turns = self.line.ahead_of(work) as u32 / limit + 1;
-        work.deadline <= now + answer * (turns + 1)
+        let rounds = self.queue.ahead_of(request) as u32 / limit + 1;
+        request.deadline <= now + latency * (rounds + 1)
     }
 
-    /// Returns the time that an answer takes, as far as known. An idle backend server is always
-    /// worth a try: refusing by an old measure would keep a recovered one shut out for ever, since
-    /// no new measure would come.
-    fn answer_time(&self) -> Duration {
+    /// Returns the expected latency, or zero while the backend server is idle. An idle server
+    /// always gets a request: refusing by an old measurement would exclude a recovered server for
+    /// ever, since no new measurement would follow.
+    fn expected_latency(&self) -> Duration {
         match self.running.is_empty() {
             true => Duration::ZERO,
-            false => self.answered.median(),
+            false => self.measured.median(),
         }
     }
 
-    fn end(&mut self, now: Moment, ticket: Ticket, end: AttemptOutcome) {
-        let busy = self.in_flight().0;
-        // A ticket of the backend server's earlier life is not known any more.
-        let Some(begun) = self.running.remove(&ticket) else {
+    fn end(&mut self, now: Moment, ticket: Ticket, outcome: AttemptOutcome) {
+        let in_flight = self.in_flight().0;
+        // Tickets of an earlier incarnation of the backend server are no longer known.
+        let Some(admitted) = self.running.remove(&ticket) else {
             return;
         };
-        match end {
+        match outcome {
             AttemptOutcome::Answered(latency) => {
-                self.answered.record(now, latency);
-                self.judged.record(now, latency);
+                self.measured.record(now, latency);
+                self.estimated.record(now, latency);
+            }
+            AttemptOutcome::Abandoned => {
+                self.record_abandoned(now, now.since(admitted.admitted_at))
             }
-            AttemptOutcome::Abandoned => self.record_given_up(now, now.since(begun.at)),
             _ => {}
         }
         if let Some(server) = &mut self.server {
-            server.limiter.learn(now, end, &begun, busy);
+            server.limiter.record(now, outcome, &admitted, in_flight);
         }
     }
 
-    /// Counts the time of a request that was given up. Hedges cancel just the slow answers: without
-    /// this, a straggler would show only its few quick ones and keep its share.
-    fn record_given_up(&mut self, now: Moment, elapsed: Duration) {
-        if elapsed > self.judged.median() {
-            self.judged.record(now, elapsed * GIVEN_UP);
+    /// Records an estimated latency for an abandoned request. Hedges cancel only the slow
+    /// attempts: without this, a straggler would show only its few fast responses and keep its
+    /// share.
+    fn record_abandoned(&mut self, now: Moment, elapsed: Duration) {
+        if elapsed > self.estimated.median() {
+            self.estimated
+                .record(now, elapsed * ABANDONED_LATENCY_FACTOR);
         }
     }
 
-    fn announce(&mut self, profile: ServerProfile) {
+    fn update_profile(&mut self, profile: ServerProfile) {
         match &mut self.server {
             Some(server) if server.profile.incarnation == profile.incarnation => {
                 server.limiter.announce(&profile);
                 server.profile = profile;
             }
             _ => {
-                // What ran in an earlier life ended with it, so its slots are free.
+                // Requests to an earlier incarnation ended with it, so their slots are free.
                 self.running.clear();
-                self.answered = recent_latencies();
-                self.judged = recent_latencies();
+                self.measured = recent_latencies();
+                self.estimated = recent_latencies();
                 let limiter = ConcurrencyLimiter::new(&profile);
                 self.server = Some(Server { profile, limiter });
             }
         }
     }
 
-    fn drop_hopeless(&mut self, now: Moment, actions: &mut Vec<AdmissionAction>) {
-        if self.line.is_empty() {
+    fn refuse_late(&mut self, now: Moment, actions: &mut Vec<AdmissionAction>) {
+        if self.queue.is_empty() {
             return;
         }
-        let answer = self.answer_time();
-        for ticket in self.line.remove_hopeless(now, answer) {
+        let latency = self.expected_latency();
+        for ticket in self.queue.remove_late(now, latency) {
             let code = RefusalCode::DeadlineNotRun;
             actions.push(AdmissionAction::Refuse(ticket, code));
         }
@@ -232,20 +244,20 @@
 
     fn admit_waiting(&mut self, now: Moment, actions: &mut Vec<AdmissionAction>) {
         while self.in_flight() < self.limit() {
-            let Some(work) = self.line.pop_first() else {
+            let Some(request) = self.queue.pop_first() else {
                 return;
             };
-            let begun = AdmittedRequest {
-                route: work.route,
-                at: now,
-                busy: self.in_flight().0 + 1,
+            let admitted = AdmittedRequest {
+                route: request.route,
+                admitted_at: now,
+                in_flight: self.in_flight().0 + 1,
             };
-            self.running.insert(work.ticket, begun);
-            actions.push(AdmissionAction::Admit(work.ticket));
+            self.running.insert(request.ticket, admitted);
+            actions.push(AdmissionAction::Admit(request.ticket));
         }
     }
 }
 
 fn recent_latencies() -> LatencyWindow {
-    LatencyWindow::new(KEPT, RECENT)
+    LatencyWindow::new(MAX_LATENCIES, MAX_LATENCY_AGE)
 }
--- a/crates/core/src/traffic/admission/admission_request.rs
+++ b/crates/core/src/traffic/admission/admission_request.rs
@@ -5,10 +5,10 @@
 use crate::ids::RouteName;
 use crate::time::Moment;
 
-/// Is what admission must know of a request.
+/// What admission control needs to know of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdmissionRequest {
-    /// Its identity.
+    /// Its ticket.
     pub ticket: Ticket,
     /// Its route, whose requests take about the same time.
     pub route: RouteName,
--- a/crates/core/src/traffic/admission/admitted_request.rs
+++ b/crates/core/src/traffic/admission/admitted_request.rs
@@ -1,15 +1,15 @@
-//! The beginning of an admitted request.
+//! A request that holds a slot.
 
 use crate::ids::RouteName;
 use crate::time::Moment;
 
-/// Says when a request was admitted, and how many were in flight with it then.
+/// Records when a request was admitted, and how many were in flight then.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdmittedRequest {
     /// Its route.
     pub route: RouteName,
     /// When it was admitted.
-    pub at: Moment,
+    pub admitted_at: Moment,
     /// How many were in flight, itself included.
-    pub busy: u32,
+    pub in_flight: u32,
 }
--- a/crates/core/src/traffic/admission/attempt_outcome.rs
+++ b/crates/core/src/traffic/admission/attempt_outcome.rs
@@ -2,19 +2,19 @@
 
 use std::time::Duration;
 
-/// Says how the backend server ended an admitted request, as the node beside it saw it.
+/// The outcome of an admitted request, as its node observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It answered; the time is that from sending to the answer's beginning.
+    /// The backend server responded, after this time from sending to the start of the response.
     Answered(Duration),
-    /// It turned the request away without running it.
+    /// The backend server rejected the request without running it.
     Shed,
-    /// It answered that the work failed.
+    /// The backend server responded that the request failed.
     Failed,
-    /// The connection broke, or brought an answer that is not this request's.
+    /// The connection broke, or delivered a response to another request.
     Lost,
     /// No connection could be made, so nothing was sent.
     Unreachable,
-    /// The node had given the request up and the slot is surely free only now.
+    /// The node abandoned the request earlier, and its slot has become free only now.
     Abandoned,
 }
--- a/crates/core/src/traffic/admission/baseline_latency.rs
+++ b/crates/core/src/traffic/admission/baseline_latency.rs
@@ -1,18 +1,18 @@
-//! The usual latency of each route.
+//! The baseline latency of each route.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::ids::RouteName;
 
-/// How many times the usual latency an answer takes that is far slower than usual.
-pub(super) const FAR_SLOWER: f64 = 3.0;
-/// How much one answer moves the usual latency.
+/// The ratio to the baseline latency from which a response counts as far slower.
+pub(super) const SLOW_RATIO: f64 = 3.0;
+/// The weight of a new response in the baseline.
 const WEIGHT: f64 = 0.02;
-/// How much an answer that is far slower than usual moves it.
-const FAR_WEIGHT: f64 = 0.002;
+/// The weight of a response that is far slower than the baseline.
+const SLOW_WEIGHT: f64 = 0.002;
 
-/// Follows the usual latency by route: with one for all, a slow route in the mix would look like a
+/// Tracks the baseline latency by route. With one baseline for all, a slow route would look like a
 /// slow backend server.
 #[derive(Clone, Debug, Default)]
 pub(super) struct BaselineLatency {
@@ -20,24 +20,24 @@
 }
 
 impl BaselineLatency {
-    /// Compares a latency with the usual one of its route; one while nothing is known.
+    /// Returns the ratio of a latency to its route's baseline, or one while none is known.
     pub(super) fn ratio(&self, route: &RouteName, latency: Duration) -> f64 {
-        let usual = self.seconds.get(route).copied();
-        let known = usual.filter(|usual| *usual > 0.0);
-        known.map_or(1.0, |usual| latency.as_secs_f64() / usual)
+        let baseline = self.seconds.get(route).copied();
+        let known = baseline.filter(|baseline| *baseline > 0.0);
+        known.map_or(1.0, |baseline| latency.as_secs_f64() / baseline)
     }
 
-    /// Learns from an answer.
-    pub(super) fn learn(&mut self, route: &RouteName, latency: Duration) {
+    /// Records the latency of a response.
+    pub(super) fn record(&mut self, route: &RouteName, latency: Duration) {
         let seconds = latency.as_secs_f64();
-        let Some(usual) = self.seconds.get_mut(route) else {
+        let Some(baseline) = self.seconds.get_mut(route) else {
             self.seconds.insert(route.clone(), seconds);
             return;
         };
-        let weight = match seconds >= *usual * FAR_SLOWER {
-            true => FAR_WEIGHT,
+        let weight = match seconds >= *baseline * SLOW_RATIO {
+            true => SLOW_WEIGHT,
             false => WEIGHT,
         };
-        *usual += (seconds - *usual) * weight;
+        *baseline += (seconds - *baseline) * weight;
     }
 }
--- a/crates/core/src/traffic/admission/mod.rs
+++ b/crates/core/src/traffic/admission/mod.rs
@@ -1,7 +1,7 @@
-//! Admission to the backend server beside the node: how many requests at once, and which first.
+//! Admission control for the local backend server: how many requests at once, and which first.
 //!
-//! The node is the only way to its backend server, so every limit is kept here alone, without any
-//! agreement; see `docs/design/traffic.md`.
+//! A backend server gets requests only through its node, so the node enforces every limit alone,
+//! without coordination; see `docs/design/traffic.md`.
 
 mod admission_action;
 mod admission_event;
--- a/crates/core/src/traffic/admission/recent_outcomes.rs
+++ b/crates/core/src/traffic/admission/recent_outcomes.rs
@@ -1,81 +1,84 @@
-//! How the latest requests ended, as signs of a cold start.
+//! Recent outcomes of requests, which show an unannounced cold start.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use super::AttemptOutcome;
-use super::baseline_latency::FAR_SLOWER;
+use super::baseline_latency::SLOW_RATIO;
 use crate::time::Moment;
 
-/// How many of the latest ends are looked at.
-const KEPT: usize = 8;
-/// How many of them must be far slower than usual.
-const SLOW: usize = 6;
-/// How long the signs of an unannounced cold start are remembered.
-const WINDOW: Duration = Duration::from_secs(1);
-/// How many requests must have been turned away, lost or failed within that time.
-const DISTRESSED: usize = 3;
+/// How many of the latest outcomes are kept.
+const MAX_SAMPLES: usize = 8;
+/// How many of them must be slow for most to count as slow.
+const MIN_SLOW: usize = 6;
+/// How long an outcome counts as a sign of an unannounced cold start.
+const MAX_SAMPLE_AGE: Duration = Duration::from_secs(1);
+/// How many requests must have been rejected, lost or failed within that time.
+const MIN_FAILURES: usize = 3;
 
-/// Remembers how the latest requests ended.
+/// Keeps the outcomes of the latest requests.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RecentOutcomes {
-    ends: VecDeque<Sign>,
+    samples: VecDeque<OutcomeSample>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Sign {
+struct OutcomeSample {
     at: Moment,
-    distress: bool,
-    refused: bool,
-    /// How many times the usual latency of its route it took.
+    failed: bool,
+    rejected: bool,
+    /// Latency as a multiple of the route's baseline.
     ratio: f64,
 }
 
 impl RecentOutcomes {
-    /// Remembers an end; one that was given up says nothing.
-    pub(super) fn remember(&mut self, now: Moment, end: AttemptOutcome, ratio: f64) {
-        if end == AttemptOutcome::Abandoned {
+    /// Records an outcome; an abandoned request shows nothing and is left out.
+    pub(super) fn record(&mut self, now: Moment, outcome: AttemptOutcome, ratio: f64) {
+        if outcome == AttemptOutcome::Abandoned {
             return;
         }
-        if self.ends.len() == KEPT {
-            self.ends.pop_front();
+        if self.samples.len() == MAX_SAMPLES {
+            self.samples.pop_front();
         }
-        let refused = matches!(
-            end,
+        let rejected = matches!(
+            outcome,
             AttemptOutcome::Shed | AttemptOutcome::Lost | AttemptOutcome::Unreachable
         );
-        self.ends.push_back(Sign {
+        self.samples.push_back(OutcomeSample {
             at: now,
-            distress: !matches!(end, AttemptOutcome::Answered(_)),
-            refused,
+            failed: !matches!(outcome, AttemptOutcome::Answered(_)),
+            rejected,
             ratio,
         });
     }
 
     pub(super) fn clear(&mut self) {
-        self.ends.clear();
+        self.samples.clear();
     }
 
-    /// Tells whether most of the latest answers were far slower than usual.
-    pub(super) fn look_slow(&self) -> bool {
-        let slow = self.ends.iter().filter(|sign| sign.ratio >= FAR_SLOWER);
-        slow.count() >= SLOW
+    /// Returns whether most of the latest responses were far slower than their baseline.
+    pub(super) fn are_mostly_slow(&self) -> bool {
+        let slow = self
+            .samples
+            .iter()
+            .filter(|sample| sample.ratio >= SLOW_RATIO);
+        slow.count() >= MIN_SLOW
     }
 
-    /// Tells whether requests are turned away or lost, or fail and are slow, as by a backend
-    /// server that is cold.
-    pub(super) fn look_cold(&self, now: Moment) -> bool {
-        let recent: Vec<&Sign> = self
-            .ends
+    /// Returns whether requests are rejected or lost, or fail and are slow, as at a cold backend
+    /// server.
+    pub(super) fn indicate_cold(&self, now: Moment) -> bool {
+        let recent: Vec<&OutcomeSample> = self
+            .samples
             .iter()
-            .filter(|sign| now.since(sign.at) <= WINDOW)
+            .filter(|sample| now.since(sample.at) <= MAX_SAMPLE_AGE)
             .collect();
-        let distress = recent.iter().filter(|sign| sign.distress).count();
-        let refused = recent.iter().filter(|sign| sign.refused).count();
-        if distress < DISTRESSED || distress * 2 < recent.len() {
+        let failed = recent.iter().filter(|sample| sample.failed).count();
+        let rejected = recent.iter().filter(|sample| sample.rejected).count();
+        if failed < MIN_FAILURES || failed * 2 < recent.len() {
             return false;
         }
-        let slowest = recent.iter().map(|sign| sign.ratio).fold(0.0, f64::max);
-        refused * 2 >= distress || slowest >= FAR_SLOWER
+        let slowest = recent.iter().map(|sample| sample.ratio).fold(0.0, f64::max);
+        rejected * 2 >= failed || slowest >= SLOW_RATIO
     }
 }
--- a/crates/core/src/traffic/admission/server_profile.rs
+++ b/crates/core/src/traffic/admission/server_profile.rs
@@ -1,4 +1,4 @@
-//! What the node knows of the backend server beside it.
+//! What a node knows of its backend server.
 
 use std::time::Duration;
 
@@ -8,24 +8,24 @@
 use crate::ids::Incarnation;
 use crate::ids::SlotCount;
 
-/// Is what a backend server announced, together with what the document says of its service.
+/// A backend server's announcement combined with the specification of its service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerProfile {
-    /// The backend server's life.
+    /// The backend server's incarnation.
     pub incarnation: Incarnation,
-    /// The condition it announced.
+    /// The state it announced.
     pub state: ServerState,
-    /// How many requests it works on at once when warm.
+    /// How many requests it runs at once when warm.
     pub slots: SlotCount,
-    /// How many it bears in cold start.
+    /// How many it runs at once in cold start.
     pub cold_slots: SlotCount,
     /// How long it takes to warm up under that load.
     pub warm_up: Duration,
 }
 
 impl ServerProfile {
-    /// Puts an announcement and its service's description together; the smaller number of slots
-    /// holds where they differ.
+    /// Combines an announcement with the specification of its service. The smaller number of slots
+    /// applies where they differ.
     pub fn new(announcement: &Announcement, service: &ServiceSpec) -> Self {
         let slots = announcement.slots.min(service.slots).max(SlotCount(1));
         Self {
--- a/crates/core/src/traffic/admission/ticket.rs
+++ b/crates/core/src/traffic/admission/ticket.rs
@@ -1,8 +1,8 @@
-//! The identity of one request before admission.
+//! The identifier of a request in admission control.
 
 use crate::ids::macros::number_id;
 
 number_id! {
-    /// Names one request that asks for a slot, unique in one life of a node.
+    /// Identifies a request that asks for a slot; unique within one incarnation of a node.
     Ticket, u64
 }
--- a/crates/core/src/traffic/admission/wait_queue.rs
+++ b/crates/core/src/traffic/admission/wait_queue.rs
@@ -12,12 +12,12 @@
 /// Orders waiting requests by priority, then by deadline.
 #[derive(Clone, Debug, Default)]
 pub struct WaitQueue {
-    places: BTreeMap<Place, AdmissionRequest>,
+    requests: BTreeMap<QueuePosition, AdmissionRequest>,
 }
 
-/// A place in the line; the smallest is served first.
+/// A position in the queue; the smallest is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct QueuePosition {
     priority: Reverse<Priority>,
     deadline: Moment,
     ticket: Ticket,
@@ -25,62 +25,63 @@
 
 impl WaitQueue {
     /// Adds a request.
-    pub fn insert(&mut self, work: AdmissionRequest) {
-        self.places.insert(Place::of(&work), work);
+    pub fn insert(&mut self, request: AdmissionRequest) {
+        self.requests.insert(QueuePosition::of(&request), request);
     }
 
-    /// Takes the first request out.
+    /// Removes and returns the first request.
     pub fn pop_first(&mut self) -> Option<AdmissionRequest> {
-        self.places.pop_first().map(|(_, work)| work)
+        self.requests.pop_first().map(|(_, request)| request)
     }
 
-    /// Takes the last request out.
+    /// Removes and returns the last request.
     pub fn pop_last(&mut self) -> Option<AdmissionRequest> {
-        self.places.pop_last().map(|(_, work)| work)
+        self.requests.pop_last().map(|(_, request)| request)
     }
 
-    /// Takes a request out.
+    /// Removes a request.
     pub fn remove(&mut self, ticket: Ticket) {
-        self.places.retain(|place, _| place.ticket != ticket);
+        self.requests
+            .retain(|position, _| position.ticket != ticket);
     }
 
-    /// Takes out every request whose deadline comes before `now` plus the time an answer takes.
-    pub fn remove_hopeless(&mut self, now: Moment, answer: Duration) -> Vec<Ticket> {
-        let earliest = now + answer;
-        let hopeless: Vec<Place> = self
-            .places
+    /// Removes every request whose deadline is no later than `now` plus `latency`.
+    pub fn remove_late(&mut self, now: Moment, latency: Duration) -> Vec<Ticket> {
+        let earliest = now + latency;
+        let late: Vec<QueuePosition> = self
+            .requests
             .keys()
             .copied()
-            .filter(|place| place.deadline <= earliest)
+            .filter(|position| position.deadline <= earliest)
             .collect();
-        for place in &hopeless {
-            self.places.remove(place);
+        for position in &late {
+            self.requests.remove(position);
         }
-        hopeless.into_iter().map(|place| place.ticket).collect()
+        late.into_iter().map(|position| position.ticket).collect()
     }
 
-    /// Returns how many requests would be served before `work`.
-    pub fn ahead_of(&self, work: &AdmissionRequest) -> usize {
-        self.places.range(..Place::of(work)).count()
+    /// Returns how many requests would be served before `request`.
+    pub fn ahead_of(&self, request: &AdmissionRequest) -> usize {
+        self.requests.range(..QueuePosition::of(request)).count()
     }
 
     /// Returns how many requests wait.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.requests.len()
     }
 
-    /// Tells whether no request waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.requests.is_empty()
     }
 }
 
-impl Place {
-    fn of(work: &AdmissionRequest) -> Self {
+impl QueuePosition {
+    fn of(request: &AdmissionRequest) -> Self {
         Self {
-            priority: Reverse(work.priority),
-            deadline: work.deadline,
-            ticket: work.ticket,
+            priority: Reverse(request.priority),
+            deadline: request.deadline,
+            ticket: request.ticket,
         }
     }
 }
--- a/crates/core/src/traffic/balancing/balancing_policy.rs
+++ b/crates/core/src/traffic/balancing/balancing_policy.rs
@@ -1,20 +1,21 @@
-//! The ways to choose.
+//! Load balancing policies.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Is a way to choose a node. All but the first are baselines for experiments; operators leave
-/// the setting out.
+/// A load balancing policy. All but the first are baselines for experiments; operators leave the
+/// setting out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BalancingPolicy {
-    /// The cheaper of two by load share, recent latency and zone, stragglers set aside.
+    /// The cheaper of two random nodes by utilization, recent latency and zone; stragglers are
+    /// left out.
     #[default]
     Default,
-    /// Any node.
+    /// A random node.
     Random,
-    /// One after the other.
+    /// The nodes in turn.
     RoundRobin,
     /// The node with the fewest requests in flight.
     LeastRequest,
--- a/crates/core/src/traffic/balancing/chosen_nodes.rs
+++ b/crates/core/src/traffic/balancing/chosen_nodes.rs
@@ -1,13 +1,13 @@
-//! The outcome of a choice.
+//! The result of load balancing.
 
 use crate::ids::NodeName;
 
-/// Says where a request goes.
+/// The nodes that get a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChosenNodes {
-    /// The node that is to answer.
+    /// The node whose response the caller gets.
     pub node: NodeName,
-    /// A straggler that gets the same request at the same time, only to be measured: a caller must
-    /// not wait for a node that is known to be slow.
+    /// A straggler that gets a copy of the request, only to measure its latency: no caller should
+    /// wait for a node that is known to be slow.
     pub probe: Option<NodeName>,
 }
--- a/crates/core/src/traffic/balancing/mod.rs
+++ b/crates/core/src/traffic/balancing/mod.rs
@@ -1,4 +1,4 @@
-//! Choosing a node for requests that any backend server of a service may answer.
+//! Load balancing of requests that any backend server of a service may serve.
 
 mod balancing_policy;
 mod chosen_nodes;
--- a/crates/core/src/traffic/balancing/node_load.rs
+++ b/crates/core/src/traffic/balancing/node_load.rs
@@ -1,26 +1,26 @@
-//! The load that a node reports on its answers.
+//! The load that a node reports with its responses.
 
 use std::fmt;
 use std::str::FromStr;
 
 use crate::ids::SlotCount;
 
-/// Is a node's own count of its backend server's load, written `in_flight;limit;latency_us` in a
-/// header of every answer between nodes, so that it is as fresh as the traffic.
+/// The load of a backend server as its node counts it, written `in_flight;limit;latency_us` in a
+/// header of every response between nodes, so that it is as recent as the traffic.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeLoad {
     /// Requests in flight or waiting.
     pub in_flight: SlotCount,
-    /// The current limit.
+    /// The current limit of concurrent requests.
     pub limit: SlotCount,
     /// The recent median latency, in microseconds.
     pub latency_us: u32,
 }
 
-/// Says that a text is no load report.
+/// The error for a text that is not a node load.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
-#[error("a load is written in_flight;limit;latency_us")]
+#[error("malformed node load; expected in_flight;limit;latency_us")]
 pub struct ParseNodeLoadError;
 
 impl fmt::Display for NodeLoad {
--- a/crates/core/src/traffic/balancing/peer_stats.rs
+++ b/crates/core/src/traffic/balancing/peer_stats.rs
@@ -1,4 +1,4 @@
-//! What one ingress remembers of one node.
+//! An ingress's statistics of one node.
 
 use std::time::Duration;
 
@@ -6,32 +6,32 @@
 use crate::cluster::RoutingNode;
 use crate::time::Moment;
 
-/// How long a load reported on an answer is preferred to the one in the routing table.
-const FRESH: Duration = Duration::from_millis(500);
-/// How many times the median latency of its service makes a straggler.
+/// How long a load reported with a response is preferred to the one in the routing table.
+const REPORT_MAX_AGE: Duration = Duration::from_millis(500);
+/// The ratio to the service's median latency above which a node is a straggler.
 const STRAGGLER_RATIO: f64 = 3.0;
-/// How many times the median latency of its service a straggler must come down to.
-const RETURN_RATIO: f64 = 2.0;
+/// The ratio to the service's median latency down to which a straggler must recover.
+const RECOVERY_RATIO: f64 = 2.0;
 /// Differences below this are noise, in microseconds.
 const NOISE_US: f64 = 3_000.0;
-/// How many attempts in a row must have been overtaken by a hedge; a straggler whose every answer is
-/// overtaken sends no load report that could tell of it.
-const MISSED: u32 = 3;
-/// The weight with which a straggler returns.
-const RETURN_WEIGHT: f64 = 0.1;
-/// How long its weight takes to double.
-const RETURN_STEP: Duration = Duration::from_millis(250);
-
-/// Keeps the freshest load of a node, the requests that this ingress has there, and how much the
-/// node is trusted after it was a straggler.
+/// How many attempts abandoned in a row make a node a straggler. Hedges overtake every response of
+/// such a node, so no load report shows that it is slow.
+const MAX_ABANDONED: u32 = 3;
+/// The initial weight of a straggler that recovers.
+const RECOVERY_WEIGHT: f64 = 0.1;
+/// How long the weight of a recovering node takes to double.
+const RECOVERY_STEP: Duration = Duration::from_millis(250);
+
+/// Keeps the latest load of a node, the number of this ingress's requests there, and the node's
+/// weight while it recovers from being a straggler.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PeerStats {
     outstanding: u32,
     report: Option<Report>,
-    standing: Standing,
-    measured: Moment,
-    /// Attempts given up since the node's last answer.
-    missed: u32,
+    status: PeerStatus,
+    last_probe: Moment,
+    /// Attempts abandoned since the node's last response.
+    abandoned: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -42,11 +42,11 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Standing {
+enum PeerStatus {
     #[default]
-    Good,
+    Normal,
     Straggler,
-    Returning(Moment),
+    Recovering(Moment),
 }
 
 impl PeerStats {
@@ -59,11 +59,11 @@
     }
 
     pub(super) fn record_abandoned(&mut self) {
-        self.missed += 1;
+        self.abandoned += 1;
     }
 
     pub(super) fn record_load(&mut self, at: Moment, load: NodeLoad) {
-        self.missed = 0;
+        self.abandoned = 0;
         self.report = Some(Report {
             at,
             load,
@@ -71,17 +71,21 @@
         });
     }
 
-    /// Estimates the load now: the last report, and what this ingress sent or got back since.
+    /// Estimates the current load from the last report and the requests of this ingress that began
+    /// or ended since.
     pub(super) fn load(&self, now: Moment, node: &RoutingNode) -> NodeLoad {
-        let Some(report) = self.report.filter(|report| now.since(report.at) < FRESH) else {
+        let Some(report) = self
+            .report
+            .filter(|report| now.since(report.at) < REPORT_MAX_AGE)
+        else {
             let mut load = NodeLoad {
                 in_flight: node.in_flight,
                 limit: node.limit,
                 latency_us: node.latency_us,
             };
             load.in_flight.0 = load.in_flight.0.max(self.outstanding);
-            // A node that has answered nothing yet reports no latency; what was last seen of it
-            // is better than nothing.
+            // A node that has not served a request yet reports no latency; the last reported one
+            // is better than none.
             if let (0, Some(report)) = (load.latency_us, self.report) {
                 load.latency_us = report.load.latency_us;
             }
@@ -94,43 +98,45 @@
         load
     }
 
-    /// Judges the node against the median latency of its service.
-    pub(super) fn judge(&mut self, now: Moment, latency_us: f64, median_us: f64) {
-        let slow = self.missed >= MISSED
+    /// Updates the status by comparing the node with the median latency of its service.
+    pub(super) fn update_status(&mut self, now: Moment, latency_us: f64, median_us: f64) {
+        let slow = self.abandoned >= MAX_ABANDONED
             || (latency_us > median_us * STRAGGLER_RATIO && latency_us > median_us + NOISE_US);
-        let calm =
-            self.missed == 0 && latency_us <= (median_us * RETURN_RATIO).max(median_us + NOISE_US);
-        self.standing = match self.standing {
-            _ if slow => Standing::Straggler,
-            Standing::Straggler if calm => Standing::Returning(now),
-            Standing::Returning(since) if weight_after(now.since(since)) >= 1.0 => Standing::Good,
-            standing => standing,
+        let recovered = self.abandoned == 0
+            && latency_us <= (median_us * RECOVERY_RATIO).max(median_us + NOISE_US);
+        self.status = match self.status {
+            _ if slow => PeerStatus::Straggler,
+            PeerStatus::Straggler if recovered => PeerStatus::Recovering(now),
+            PeerStatus::Recovering(since) if weight_after(now.since(since)) >= 1.0 => {
+                PeerStatus::Normal
+            }
+            status => status,
         };
     }
 
     pub(super) fn is_straggler(&self) -> bool {
-        self.standing == Standing::Straggler
+        self.status == PeerStatus::Straggler
     }
 
     pub(super) fn weight(&self, now: Moment) -> f64 {
-        match self.standing {
-            Standing::Good => 1.0,
-            Standing::Straggler => RETURN_WEIGHT,
-            Standing::Returning(since) => weight_after(now.since(since)),
+        match self.status {
+            PeerStatus::Normal => 1.0,
+            PeerStatus::Straggler => RECOVERY_WEIGHT,
+            PeerStatus::Recovering(since) => weight_after(now.since(since)),
         }
     }
 
-    /// Returns when the node last got a request only to be measured.
-    pub(super) fn measured(&self) -> Moment {
-        self.measured
+    /// Returns when the node was last probed.
+    pub(super) fn last_probe(&self) -> Moment {
+        self.last_probe
     }
 
-    pub(super) fn set_measured(&mut self, now: Moment) {
-        self.measured = now;
+    pub(super) fn set_last_probe(&mut self, now: Moment) {
+        self.last_probe = now;
     }
 }
 
 fn weight_after(span: Duration) -> f64 {
-    let doublings = span.as_secs_f64() / RETURN_STEP.as_secs_f64();
-    (RETURN_WEIGHT * doublings.exp2()).min(1.0)
+    let doublings = span.as_secs_f64() / RECOVERY_STEP.as_secs_f64();
+    (RECOVERY_WEIGHT * doublings.exp2()).min(1.0)
 }
--- a/crates/core/src/traffic/idempotency/execution_outcome.rs
+++ b/crates/core/src/traffic/idempotency/execution_outcome.rs
@@ -1,18 +1,18 @@
-//! How work that must not repeat ended.
+//! How an attempt at work with an idempotency key ended.
 
 use super::StoredResponse;
 
-/// Is the end of an attempt at work that must not repeat.
+/// The outcome of an attempt at work with an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExecutionOutcome {
-    /// It surely did not run, so that its key may run later.
+    /// It certainly did not run, so a later attempt with the key may run.
     NotRun,
-    /// It ran, and this is its answer.
+    /// It ran, and this is its response.
     Answered(StoredResponse),
-    /// It ran, and its answer is larger than the gate keeps.
+    /// It ran, and its response is too large to store.
     TooLarge,
     /// It ran and failed.
     Failed,
-    /// No whole answer of its own came back.
+    /// It was sent, and no complete response to it came back.
     Unknown,
 }
--- a/crates/core/src/traffic/idempotency/idempotency_settings.rs
+++ b/crates/core/src/traffic/idempotency/idempotency_settings.rs
@@ -1,19 +1,19 @@
-//! The bounds of the gate.
+//! The bounds of the idempotency store.
 
 use std::time::Duration;
 
-/// Bounds what the gate remembers.
+/// Bounds what the idempotency store keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IdempotencySettings {
-    /// How long a key is remembered, counted from the time in the key.
+    /// How long a key is kept, counted from the time in the key.
     pub retention: Duration,
-    /// How many bytes all kept outcomes together may take.
+    /// How many bytes all stored outcomes together may take.
     pub memory_limit: usize,
-    /// How large one kept answer may be, in bytes.
+    /// How large one stored response may be, in bytes.
     pub response_limit: usize,
-    /// How far ahead of the node's calendar clock the time in a key may be.
+    /// How far ahead of the node's wall clock the time in a key may be.
     pub max_ahead: Duration,
-    /// How far the calendar clocks of two nodes may differ.
+    /// How far the wall clocks of two nodes may differ.
     pub clock_drift: Duration,
 }
 
--- a/crates/core/src/traffic/idempotency/idempotency_state.rs
+++ b/crates/core/src/traffic/idempotency/idempotency_state.rs
@@ -1,4 +1,4 @@
-//! The gate's memory of one slice.
+//! The idempotency keys of one slice.
 
 use std::collections::BTreeMap;
 
@@ -10,14 +10,15 @@
 use crate::ids::IdempotencyKey;
 use crate::time::WallTime;
 
-/// What an entry takes besides its kept answer, in bytes, rounded up.
-const ENTRY_SIZE: usize = 192;
+/// What an entry takes besides its stored response, in bytes, rounded up.
+const ENTRY_BYTES: usize = 192;
 
-/// Remembers every key of one slice that was sent since `floor`; of older keys nothing is known.
+/// Keeps every idempotency key of one slice that was made since `known_since`; of older keys
+/// nothing is known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct IdempotencyState {
-    floor: WallTime,
+    known_since: WallTime,
     entries: BTreeMap<IdempotencyKey, Entry>,
     size: usize,
 }
@@ -29,33 +30,33 @@
     outcome: KeyOutcome,
 }
 
-/// Says that bytes are no memory of a slice.
+/// The error for bytes that don't encode the idempotency state of a slice.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
-#[error("not the memory of a slice")]
+#[error("malformed idempotency state of a slice")]
 pub struct DecodeStateError(
-    /// What the codec said.
+    /// The error of the codec.
     #[from]
     postcard::Error,
 );
 
 impl IdempotencyState {
-    /// Starts a memory that knows nothing of keys made before `floor`.
-    pub fn new(floor: WallTime) -> Self {
+    /// Creates a state that knows nothing of keys made before `known_since`.
+    pub fn new(known_since: WallTime) -> Self {
         Self {
-            floor,
+            known_since,
             entries: BTreeMap::new(),
             size: 0,
         }
     }
 
-    /// Reads what [`Self::encode`] wrote.
+    /// Decodes the output of [`Self::encode`].
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeStateError> {
         Ok(postcard::from_bytes(bytes)?)
     }
 
-    /// Writes the memory for the slice's next owner. Work that is still running may or may not
-    /// run to its end, so the next owner gets it as unknown.
+    /// Encodes the state for the slice's next owner. Work that is still running may or may not
+    /// complete, so the next owner gets its outcome as unknown.
     pub fn encode(mut self) -> Result<Vec<u8>, DecodeStateError> {
         for entry in self.entries.values_mut() {
             if entry.outcome == KeyOutcome::Running {
@@ -66,8 +67,8 @@
     }
 
     /// Returns the time before which nothing is known.
-    pub fn floor(&self) -> WallTime {
-        self.floor
+    pub fn known_since(&self) -> WallTime {
+        self.known_since
     }
 
     /// Returns what is known of a key.
@@ -82,7 +83,7 @@
         self.insert(key, Entry { digest, outcome });
     }
 
-    /// Records what became of a key, if the key is still remembered.
+    /// Records the outcome of a key, if the key is still known.
     pub fn end(&mut self, key: IdempotencyKey, outcome: KeyOutcome) {
         if let Some(entry) = self.entries.get(&key) {
             let digest = entry.digest;
@@ -90,31 +91,31 @@
         }
     }
 
-    /// Forgets a key whose work surely did not run.
+    /// Removes a key whose work certainly did not run.
     pub fn remove(&mut self, key: IdempotencyKey) {
         if let Some(entry) = self.entries.remove(&key) {
             self.size -= entry.size();
         }
     }
 
-    /// Forgets the keys made before `floor`.
-    pub fn raise_floor(&mut self, floor: WallTime) {
-        self.floor = self.floor.max(floor);
-        // Version 7 keys sort by their time, so the oldest come first.
+    /// Removes the keys made before `time`.
+    pub fn forget_before(&mut self, time: WallTime) {
+        self.known_since = self.known_since.max(time);
+        // Version 7 UUIDs sort by their time, so the oldest come first.
         while let Some(oldest) = self.entries.first_entry() {
-            if key_time(*oldest.key()).is_some_and(|time| time >= self.floor) {
+            if key_time(*oldest.key()).is_some_and(|time| time >= self.known_since) {
                 return;
             }
             self.size -= oldest.remove().size();
         }
     }
 
-    /// Returns the time in the oldest key, if any key is remembered.
+    /// Returns the time in the oldest key, if any key is known.
     pub fn oldest(&self) -> Option<WallTime> {
         self.entries.keys().next().copied().and_then(key_time)
     }
 
-    /// Returns about how many bytes of memory the entries take.
+    /// Returns the approximate memory that the entries take, in bytes.
     pub fn size(&self) -> usize {
         self.size
     }
@@ -129,15 +130,15 @@
 
 impl Entry {
     fn size(&self) -> usize {
-        let kept = match &self.outcome {
-            KeyOutcome::Answered(answer) => answer.size(),
+        let response_bytes = match &self.outcome {
+            KeyOutcome::Answered(response) => response.size(),
             _ => 0,
         };
-        ENTRY_SIZE + kept
+        ENTRY_BYTES + response_bytes
     }
 }
 
-/// Returns the time in a version 7 key; none for any other UUID.
+/// Returns the time in a version 7 UUID; none for other versions.
 pub(super) fn key_time(key: IdempotencyKey) -> Option<WallTime> {
     if key.0.get_version_num() != 7 {
         return None;
--- a/crates/core/src/traffic/idempotency/idempotency_store.rs
+++ b/crates/core/src/traffic/idempotency/idempotency_store.rs
@@ -1,4 +1,4 @@
-//! The decisions of the gate.
+//! The store of idempotency keys.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,11 +16,10 @@
 use crate::time::WallTime;
 use crate::traffic::refusal::RefusalCode;
 
-/// Lets the work of each key run at most once while this node owns the key's slice.
+/// Lets the work of each idempotency key run at most once while this node owns the key's slice.
 ///
-/// The key is recorded before anything is sent. What is not remembered is told from what never
-/// came by the time in the key: a key older than the memory of its slice gets "outcome unknown",
-/// never a run.
+/// The key is recorded before anything is sent. The time in a key tells a forgotten key from a new
+/// one: a key older than the state of its slice gets "outcome unknown" and never runs.
 #[derive(Clone, Debug)]
 pub struct IdempotencyStore {
     settings: IdempotencySettings,
@@ -31,11 +30,11 @@
 #[derive(Clone, Debug)]
 struct SliceEntry {
     fence: Fence,
-    memory: IdempotencyState,
+    state: IdempotencyState,
 }
 
 impl IdempotencyStore {
-    /// Makes a gate that guards no slice yet.
+    /// Creates a store without slices.
     pub fn new(settings: IdempotencySettings) -> Self {
         Self {
             settings,
@@ -44,27 +43,27 @@
         }
     }
 
-    /// Starts to guard a slice under a new grant, with the memory handed over by the previous
-    /// owner or with an empty one.
+    /// Adds a slice under a new grant, with the state handed over by the previous owner or with an
+    /// empty one.
     pub fn add_slice(
         &mut self,
         now: WallTime,
         slice: &SliceId,
         fence: Fence,
-        handed: Option<IdempotencyState>,
+        previous: Option<IdempotencyState>,
     ) {
-        // The lost owner took keys up to `ahead` of its clock, which may differ from this one by
-        // `drift`; without this allowance such a key would pass as new and run twice.
-        let unknown = add(now, self.settings.max_ahead + self.settings.clock_drift);
-        let memory = handed.unwrap_or_else(|| IdempotencyState::new(unknown));
-        self.size += memory.size();
+        // A lost owner accepted keys up to `max_ahead` of its clock, which may differ from this
+        // one by `clock_drift`. Without this allowance such a key would count as new and run twice.
+        let known_since = add(now, self.settings.max_ahead + self.settings.clock_drift);
+        let state = previous.unwrap_or_else(|| IdempotencyState::new(known_since));
+        self.size += state.size();
         if let Some(old) = self
             .slices
-            .insert(slice.clone(), SliceEntry { fence, memory })
+            .insert(slice.clone(), SliceEntry { fence, state })
         {
-            self.size -= old.memory.size();
+            self.size -= old.state.size();
         }
-        self.fit(now);
+        self.enforce_limits(now);
     }
 
     /// Decides on a request and, if it may run, records its key as running.
@@ -79,20 +78,20 @@
         let Some(time) = key_time(key) else {
             return IdempotencyDecision::Refuse(RefusalCode::KeyRequired);
         };
-        self.fit(now);
-        let Some(guarded) = self.guarded(slice, fence) else {
+        self.enforce_limits(now);
+        let Some(entry) = self.entry(slice, fence) else {
             return IdempotencyDecision::Refuse(RefusalCode::NotOwner);
         };
-        if let Some((known, outcome)) = guarded.memory.get(key) {
-            return Self::repeat(known == digest, outcome);
+        if let Some((known, outcome)) = entry.state.get(key) {
+            return Self::replay(known == digest, outcome);
         }
-        if time < guarded.memory.floor() {
+        if time < entry.state.known_since() {
             return IdempotencyDecision::Refuse(RefusalCode::OutcomeUnknown);
         }
         if time > add(now, self.settings.max_ahead) {
             return IdempotencyDecision::Refuse(RefusalCode::KeyAhead);
         }
-        self.change(slice, fence, |memory| memory.start(key, digest));
+        self.update(slice, fence, |state| state.start(key, digest));
         IdempotencyDecision::Run
     }
 
@@ -102,98 +101,99 @@
         slice: &SliceId,
         fence: Fence,
         key: IdempotencyKey,
-        end: ExecutionOutcome,
+        outcome: ExecutionOutcome,
     ) {
         let limit = self.settings.response_limit;
-        let outcome = match end {
+        let outcome = match outcome {
             ExecutionOutcome::NotRun => {
-                self.change(slice, fence, |memory| memory.remove(key));
+                self.update(slice, fence, |state| state.remove(key));
                 return;
             }
-            ExecutionOutcome::Answered(answer) if answer.size() > limit => KeyOutcome::TooLarge,
-            ExecutionOutcome::Answered(answer) => KeyOutcome::Answered(answer),
+            ExecutionOutcome::Answered(response) if response.size() > limit => KeyOutcome::TooLarge,
+            ExecutionOutcome::Answered(response) => KeyOutcome::Answered(response),
             ExecutionOutcome::TooLarge => KeyOutcome::TooLarge,
             ExecutionOutcome::Failed => KeyOutcome::Failed,
             ExecutionOutcome::Unknown => KeyOutcome::Unknown,
         };
-        self.change(slice, fence, |memory| memory.end(key, outcome));
+        self.update(slice, fence, |state| state.end(key, outcome));
     }
 
-    /// Stops guarding a slice and returns its memory for the next owner.
+    /// Removes a slice and returns its state for the next owner.
     pub fn remove_slice(&mut self, slice: &SliceId, fence: Fence) -> Option<IdempotencyState> {
-        self.guarded(slice, fence)?;
-        let guarded = self.slices.remove(slice)?;
-        self.size -= guarded.memory.size();
-        Some(guarded.memory)
+        self.entry(slice, fence)?;
+        let entry = self.slices.remove(slice)?;
+        self.size -= entry.state.size();
+        Some(entry.state)
     }
 
-    /// Returns about how many bytes of memory are in use.
+    /// Returns the approximate memory in use, in bytes.
     pub fn size(&self) -> usize {
         self.size
     }
 
-    /// Returns how large an answer may be to be kept, in bytes.
+    /// Returns the size of the largest response that is stored, in bytes.
     pub fn response_limit(&self) -> usize {
         self.settings.response_limit
     }
 
-    fn repeat(same: bool, outcome: &KeyOutcome) -> IdempotencyDecision {
+    fn replay(same: bool, outcome: &KeyOutcome) -> IdempotencyDecision {
         if !same {
             return IdempotencyDecision::Refuse(RefusalCode::KeyReused);
         }
         match outcome {
             KeyOutcome::Running => IdempotencyDecision::Refuse(RefusalCode::StillRunning),
-            KeyOutcome::Answered(answer) => IdempotencyDecision::Replay(answer.clone()),
+            KeyOutcome::Answered(response) => IdempotencyDecision::Replay(response.clone()),
             KeyOutcome::TooLarge => IdempotencyDecision::Refuse(RefusalCode::OutcomeNotKept),
             KeyOutcome::Failed => IdempotencyDecision::Refuse(RefusalCode::ServerFailed),
             KeyOutcome::Unknown => IdempotencyDecision::Refuse(RefusalCode::OutcomeUnknown),
         }
     }
 
-    fn guarded(&self, slice: &SliceId, fence: Fence) -> Option<&SliceEntry> {
-        let guarded = self.slices.get(slice)?;
-        (guarded.fence == fence).then_some(guarded)
+    fn entry(&self, slice: &SliceId, fence: Fence) -> Option<&SliceEntry> {
+        let entry = self.slices.get(slice)?;
+        (entry.fence == fence).then_some(entry)
     }
 
-    fn change<F>(&mut self, slice: &SliceId, fence: Fence, change: F)
+    fn update<F>(&mut self, slice: &SliceId, fence: Fence, update: F)
     where
         F: FnOnce(&mut IdempotencyState),
     {
-        let Some(guarded) = self.slices.get_mut(slice) else {
+        let Some(entry) = self.slices.get_mut(slice) else {
             return;
         };
-        if guarded.fence != fence {
+        if entry.fence != fence {
             return;
         }
-        self.size -= guarded.memory.size();
-        change(&mut guarded.memory);
-        self.size += guarded.memory.size();
+        self.size -= entry.state.size();
+        update(&mut entry.state);
+        self.size += entry.state.size();
     }
 
-    /// Forgets what is past the window, and the oldest of the rest until all fits the memory. The
-    /// floor rises with it, so that a forgotten key is refused and never runs again.
-    fn fit(&mut self, now: WallTime) {
-        let window = u64::try_from(self.settings.retention.as_millis()).unwrap_or(u64::MAX);
-        let past = WallTime(now.0.saturating_sub(window));
-        for guarded in self.slices.values_mut() {
-            self.size -= guarded.memory.size();
-            guarded.memory.raise_floor(past);
-            self.size += guarded.memory.size();
+    /// Forgets keys past their retention, then the oldest keys until the rest fits the memory
+    /// limit. The times since which keys are known rise accordingly, so that a forgotten key is
+    /// refused and never runs again.
+    fn enforce_limits(&mut self, now: WallTime) {
+        let retention = u64::try_from(self.settings.retention.as_millis()).unwrap_or(u64::MAX);
+        let expiry = WallTime(now.0.saturating_sub(retention));
+        for entry in self.slices.values_mut() {
+            self.size -= entry.state.size();
+            entry.state.forget_before(expiry);
+            self.size += entry.state.size();
         }
         while self.size > self.settings.memory_limit {
             let oldest = self
                 .slices
                 .values_mut()
-                .filter_map(|each| Some((each.memory.oldest()?, each)))
+                .filter_map(|each| Some((each.state.oldest()?, each)))
                 .min_by_key(|(time, _)| *time);
-            let Some((time, guarded)) = oldest else {
+            let Some((time, entry)) = oldest else {
                 return;
             };
-            self.size -= guarded.memory.size();
-            guarded
-                .memory
-                .raise_floor(add(time, Duration::from_millis(1)));
-            self.size += guarded.memory.size();
+            self.size -= entry.state.size();
+            entry
+                .state
+                .forget_before(add(time, Duration::from_millis(1)));
+            self.size += entry.state.size();
         }
     }
 }
--- a/crates/core/src/traffic/idempotency/mod.rs
+++ b/crates/core/src/traffic/idempotency/mod.rs
@@ -1,4 +1,4 @@
-//! The gate through which work passes that must run at most once.
+//! Idempotency keys: work that must run at most once.
 //!
 //! `docs/design/traffic.md` gives the argument why no key runs twice, whatever is lost.
 
--- a/crates/core/src/traffic/idempotency/request_digest.rs
+++ b/crates/core/src/traffic/idempotency/request_digest.rs
@@ -1,4 +1,4 @@
-//! The digest of a request that must not repeat.
+//! The digest of a request with an idempotency key.
 
 use std::fmt;
 
@@ -7,13 +7,13 @@
 use sha2::Digest;
 use sha2::Sha256;
 
-/// Tells two requests apart that come with one idempotency key.
+/// Distinguishes different requests that use the same idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct RequestDigest([u8; 32]);
 
 impl RequestDigest {
-    /// Digests method, path with query, and body.
+    /// Computes the digest of the method, the path with its query, and the body.
     pub fn of(method: &str, path: &str, body: &[u8]) -> Self {
         let mut hash = Sha256::new();
         for part in [method.as_bytes(), path.as_bytes(), body] {
--- a/crates/core/src/traffic/idempotency/stored_header.rs
+++ b/crates/core/src/traffic/idempotency/stored_header.rs
@@ -1,9 +1,9 @@
-//! A header of a kept answer.
+//! A header of a stored response.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Is one header of a kept answer.
+/// A header of a stored response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct StoredHeader {
--- a/crates/core/src/traffic/idempotency/stored_response.rs
+++ b/crates/core/src/traffic/idempotency/stored_response.rs
@@ -1,4 +1,4 @@
-//! A whole answer, kept for repeats.
+//! A stored response.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -6,20 +6,20 @@
 
 use super::StoredHeader;
 
-/// Is the whole answer of a backend server, returned again to every repeat of its request.
+/// A whole response of a backend server, returned to every repetition of its request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct StoredResponse {
     /// The HTTP status.
     pub status: u16,
-    /// The headers that belong to the answer and not to a hop.
+    /// The end-to-end headers.
     pub headers: Vec<StoredHeader>,
     /// The body.
     pub body: Bytes,
 }
 
 impl StoredResponse {
-    /// Returns about how many bytes of memory the answer takes.
+    /// Returns the approximate memory that the response takes, in bytes.
     pub fn size(&self) -> usize {
         let headers: usize = self
             .headers
