--- a/crates/core/src/traffic/admission/recent_outcomes.rs
+++ b/crates/core/src/traffic/admission/recent_outcomes.rs
@@ -9,12 +9,12 @@
 
 /// How many of the latest outcomes are kept.
 const MAX_SAMPLES: usize = 8;
-/// How many of them must be slow for most to count as slow.
+/// How many of them must be far slower than their baseline for most to count as slow.
 const MIN_SLOW: usize = 6;
 /// How long an outcome counts as a sign of an unannounced cold start.
 const MAX_SAMPLE_AGE: Duration = Duration::from_secs(1);
 /// How many requests must have been rejected, lost or failed within that time.
-const MIN_FAILURES: usize = 3;
+const MIN_UNSERVED: usize = 3;
 
 /// Keeps the outcomes of the latest requests.
 #[derive(Clone, Debug, Default)]
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug)]
 struct OutcomeSample {
     at: Moment,
-    failed: bool,
+    unserved: bool,
     rejected: bool,
     /// Latency as a multiple of the route's baseline.
     ratio: f64,
@@ -46,7 +46,7 @@
         );
         self.samples.push_back(OutcomeSample {
             at: now,
-            failed: !matches!(outcome, AttemptOutcome::Answered(_)),
+            unserved: !matches!(outcome, AttemptOutcome::Answered(_)),
             rejected,
             ratio,
         });
@@ -73,12 +73,12 @@
             .iter()
             .filter(|sample| now.since(sample.at) <= MAX_SAMPLE_AGE)
             .collect();
-        let failed = recent.iter().filter(|sample| sample.failed).count();
+        let unserved = recent.iter().filter(|sample| sample.unserved).count();
         let rejected = recent.iter().filter(|sample| sample.rejected).count();
-        if failed < MIN_FAILURES || failed * 2 < recent.len() {
+        if unserved < MIN_UNSERVED || unserved * 2 < recent.len() {
             return false;
         }
         let slowest = recent.iter().map(|sample| sample.ratio).fold(0.0, f64::max);
-        rejected * 2 >= failed || slowest >= SLOW_RATIO
+        rejected * 2 >= unserved || slowest >= SLOW_RATIO
     }
 }
--- a/crates/core/src/traffic/balancing/peer_stats.rs
+++ b/crates/core/src/traffic/balancing/peer_stats.rs
@@ -14,9 +14,9 @@
 const RECOVERY_RATIO: f64 = 2.0;
 /// Differences below this are noise, in microseconds.
 const NOISE_US: f64 = 3_000.0;
-/// How many attempts abandoned in a row make a node a straggler. Hedges overtake every response of
-/// such a node, so no load report shows that it is slow.
-const MAX_ABANDONED: u32 = 3;
+/// How many attempts abandoned in a row for a faster hedge make a node a straggler. If hedges
+/// overtake all its responses, no load report shows that it is slow.
+const STRAGGLER_ABANDONED: u32 = 3;
 /// The initial weight of a straggler that recovers.
 const RECOVERY_WEIGHT: f64 = 0.1;
 /// How long the weight of a recovering node takes to double.
@@ -100,7 +100,7 @@
 
     /// Updates the status by comparing the node with the median latency of its service.
     pub(super) fn update_status(&mut self, now: Moment, latency_us: f64, median_us: f64) {
-        let slow = self.abandoned >= MAX_ABANDONED
+        let slow = self.abandoned >= STRAGGLER_ABANDONED
             || (latency_us > median_us * STRAGGLER_RATIO && latency_us > median_us + NOISE_US);
         let recovered = self.abandoned == 0
             && latency_us <= (median_us * RECOVERY_RATIO).max(median_us + NOISE_US);
--- a/crates/core/src/traffic/retry/hedge_policy.rs
+++ b/crates/core/src/traffic/retry/hedge_policy.rs
@@ -9,7 +9,7 @@
 const HEDGE_QUANTILE: f64 = 0.95;
 /// How many latencies must be known before any hedge.
 const MIN_LATENCIES: usize = 20;
-/// The shortest delay. Below it, the second attempt costs more than the delay of the first.
+/// The shortest delay. Below it, a second attempt would cost more than it could save.
 const MIN_DELAY: Duration = Duration::from_millis(2);
 /// How many latencies are kept; a quantile near one needs many.
 const MAX_LATENCIES: usize = 256;
