--- a/crates/mesh/src/traffic/admission/admission_machine.rs
+++ b/crates/mesh/src/traffic/admission/admission_machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of admission.
+//! The state machine of admission control.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,8 +11,8 @@
 use super::ResponseSample;
 use super::Ticket;
 use super::admission_rates::AdmissionRates;
-use super::forecast::NEEDED;
-use super::forecast::NEEDED_IN_TIME;
+use super::forecast::MIN_TIME_FACTOR;
+use super::forecast::ON_TIME_FACTOR;
 use super::service_times::ServiceTimes;
 use super::wait_queue::PriorityClass;
 use super::wait_queue::WaitQueue;
@@ -21,56 +21,58 @@
 use crate::traffic::link::LinkBacklog;
 use crate::traffic::link::ResponseSizes;
 
-/// How long the link may be busy when a request with a large answer is started, beside the time that
-/// its work takes: enough for the link never to run dry, short enough for the rest to wait here, where
-/// they can be refused.
-const LINK_AHEAD: Duration = Duration::from_millis(60);
-/// The shortest time after which a refused caller is asked to come back.
-const SHORTEST_RETURN: Duration = Duration::from_millis(150);
-/// The longest.
-const LONGEST_RETURN: Duration = Duration::from_millis(1_500);
+/// How long the link may still be busy when a request with a large response is admitted, in addition
+/// to the request's service time. Long enough for the link never to be idle, and short enough for
+/// other requests to wait here, where they can be refused.
+const LINK_LEAD: Duration = Duration::from_millis(60);
+/// The shortest time after which a refused caller is asked to retry.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(150);
+/// The longest time after which a refused caller is asked to retry.
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(1_500);
 
-/// Is what admission asks for.
+/// An action that [`Admission`] requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionAction {
-    /// Send the request.
+    /// The request has a slot and may be sent.
     Admit(Ticket),
-    /// Refuse it; there may be room after this time.
+    /// The request is refused; a retry may succeed after this time.
     Refuse(Ticket, RefusalReason, Duration),
 }
 
-/// Admits as many requests as the server has slots and the link carries answers, the most useful
-/// first.
+/// Admits as many requests as the server has slots and the link can carry responses for, the most
+/// useful first.
 ///
-/// More than its slots would wait in the server's own queue, where nothing can be put before them
-/// or taken back, and where a later refusal counts as an arrival.
+/// Requests beyond the slots would wait in the server's own queue, where they can neither be
+/// reordered nor cancelled, and where a later refusal counts as a request that reached the server.
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
     pub(super) slots: usize,
     pub(super) running: BTreeSet<Ticket>,
-    pub(super) short: WaitQueue,
-    pub(super) large: WaitQueue,
-    pub(super) starts: AdmissionRates,
-    pub(super) pace: ServiceTimes,
+    /// Requests whose responses are not large.
+    pub(super) short_queue: WaitQueue,
+    /// Requests whose responses are large.
+    pub(super) large_queue: WaitQueue,
+    pub(super) rates: AdmissionRates,
+    pub(super) service_times: ServiceTimes,
     pub(super) sizes: ResponseSizes,
     pub(super) backlog: LinkBacklog,
-    pub(super) cold: ColdStartLimiter,
+    pub(super) cold_limiter: ColdStartLimiter,
 }
 
 impl Admission {
-    /// Sets how many requests the server works on at once; none while it may get no work.
+    /// Sets how many requests the server runs at once; zero while it must not get any.
     pub fn set_slots(&mut self, slots: usize) {
         self.slots = slots;
     }
 
-    /// Sets what the host's link carries.
+    /// Sets the rate of the host's link.
     pub fn set_link(&mut self, rate: Option<LinkRate>) {
         self.backlog.set_rate(rate);
     }
 
-    /// Returns the gate for a cold server.
+    /// Returns the limiter for a cold server.
     pub fn cold_limiter(&mut self) -> &mut ColdStartLimiter {
-        &mut self.cold
+        &mut self.cold_limiter
     }
 
     /// Returns how many requests run.
@@ -80,153 +82,166 @@
 
     /// Returns how many requests wait.
     pub fn waiting(&self) -> usize {
-        self.short.len() + self.large.len()
+        self.short_queue.len() + self.large_queue.len()
     }
 
-    /// Returns how long the requests that make up most of the server's work take; zero before the
-    /// first.
+    /// Returns the mean service time weighted by service time, which is that of the requests that
+    /// make up most of the server's work; zero before the first response.
     pub fn weighted_time(&self) -> Duration {
-        self.pace.of_most_work()
+        self.service_times.weighted_mean()
     }
 
-    /// Returns how long a request of a route keeps a slot.
+    /// Returns how long a request of a route occupies a slot.
     pub fn service_time(&self, route: &RouteName) -> Duration {
-        self.pace.steady(route)
+        self.service_times.steady(route)
     }
 
-    /// Returns how long the link is busy with the large answers of the requests that are here.
+    /// Returns how long the link is busy with the large responses of the waiting and running
+    /// requests.
     pub fn link_time(&mut self, now: Moment) -> Duration {
         let waiting: f64 = self
-            .large
-            .jobs()
-            .filter_map(|job| self.sizes.large(&job.route))
+            .large_queue
+            .requests()
+            .filter_map(|request| self.sizes.large(&request.route))
             .sum();
         self.backlog.time(now) + self.backlog.time_for(waiting)
     }
 
-    /// Takes a request; it starts, waits, or is refused.
-    pub fn arrive(&mut self, now: Moment, job: AdmissionRequest) -> Vec<AdmissionAction> {
-        let wait = self.expected_wait(now, &job);
-        let soonest = now + self.finish(now, &job, wait, NEEDED);
-        let late = self.is_late(now, &job, wait);
-        if soonest > job.deadline || (late && self.is_crowded(now, &job)) {
-            let back = self.return_time(wait);
+    /// Handles a new request, which is admitted, queued or refused.
+    pub fn arrive(&mut self, now: Moment, request: AdmissionRequest) -> Vec<AdmissionAction> {
+        let wait = self.expected_wait(now, &request);
+        let earliest = now + self.completion_time(now, &request, wait, MIN_TIME_FACTOR);
+        let late = self.is_late(now, &request, wait);
+        if earliest > request.deadline || (late && self.would_starve(now, &request)) {
+            let after = self.retry_after(wait);
             return vec![AdmissionAction::Refuse(
-                job.ticket,
+                request.ticket,
                 RefusalReason::Full,
-                back,
+                after,
             )];
         }
-        self.line(&job.route).insert(job, late);
+        self.queue(&request.route).insert(request, late);
         self.dispatch(now)
     }
 
-    /// Takes back a request that nobody waits for.
+    /// Removes a waiting request whose caller is gone.
     pub fn cancel(&mut self, ticket: Ticket) {
-        self.short.remove(ticket);
-        self.large.remove(ticket);
+        self.short_queue.remove(ticket);
+        self.large_queue.remove(ticket);
     }
 
-    /// Learns that a request has ended, and how if it was answered.
+    /// Records that a request has ended, with its response if there was one.
     pub fn end(
         &mut self,
         now: Moment,
         ticket: Ticket,
-        answered: Option<ResponseSample<'_>>,
+        response: Option<ResponseSample<'_>>,
     ) -> Vec<AdmissionAction> {
         self.running.remove(&ticket);
-        if let Some(answered) = answered {
-            self.pace.learn(answered.route, answered.service_time);
-            self.sizes.learn(answered.route, answered.bytes);
+        if let Some(response) = response {
+            self.service_times
+                .record(response.route, response.service_time);
+            self.sizes.record(response.route, response.bytes);
         }
-        let bytes = answered.map_or(0, |answered| answered.bytes);
+        let bytes = response.map_or(0, |response| response.bytes);
         self.backlog.end(now, ticket, bytes as f64);
         self.dispatch(now)
     }
 
-    /// Starts what can start and refuses what has become hopeless.
+    /// Admits the requests for which there is room, and refuses those that can't be served in time
+    /// any more.
     pub fn dispatch(&mut self, now: Moment) -> Vec<AdmissionAction> {
         let mut actions = Vec::new();
         self.demote_late(now);
-        self.drop_hopeless(now, &mut actions);
-        while self.running.len() < self.slots && self.cold.admit_delay(now).is_none() {
-            let Some((job, class)) = self.pop_first(now) else {
+        self.refuse_late(now, &mut actions);
+        while self.running.len() < self.slots && self.cold_limiter.admit_delay(now).is_none() {
+            let Some((request, class)) = self.pop_first(now) else {
                 break;
             };
-            self.starts.count(now, class);
-            if let Some(bytes) = self.sizes.large(&job.route) {
-                self.backlog.begin(job.ticket, bytes);
+            self.rates.record(now, class);
+            if let Some(bytes) = self.sizes.large(&request.route) {
+                self.backlog.begin(request.ticket, bytes);
             }
-            self.cold.record_admitted(now);
-            self.running.insert(job.ticket);
-            actions.push(AdmissionAction::Admit(job.ticket));
+            self.cold_limiter.record_admitted(now);
+            self.running.insert(request.ticket);
+            actions.push(AdmissionAction::Admit(request.ticket));
         }
         actions
     }
 
-    /// Returns when `dispatch` has something to do although nothing happens.
+    /// Returns after which time [`Self::dispatch`] is due even without another event.
     pub fn next_dispatch(&mut self, now: Moment) -> Option<Duration> {
         if self.waiting() == 0 {
             return None;
         }
-        self.cold.admit_delay(now)
+        self.cold_limiter.admit_delay(now)
     }
 
-    /// Takes the most useful request for which there is room at the server and on the link.
+    /// Removes and returns the most useful request for which the server and the link have room.
     fn pop_first(&mut self, now: Moment) -> Option<(AdmissionRequest, PriorityClass)> {
-        let large = self.large.first().map(|(place, job)| (place, &job.route));
-        let open =
-            large.filter(|(_, route)| self.backlog.time(now) <= self.pace.of(route) + LINK_AHEAD);
-        let large = open.map(|(place, _)| place);
-        let short = self.short.first().map(|(place, _)| place);
+        let large = self
+            .large_queue
+            .first()
+            .map(|(position, request)| (position, &request.route));
+        let admissible = large.filter(|(_, route)| {
+            self.backlog.time(now) <= self.service_times.of(route) + LINK_LEAD
+        });
+        let large = admissible.map(|(position, _)| position);
+        let short = self.short_queue.first().map(|(position, _)| position);
         match (short, large) {
-            (Some(short), Some(large)) if large < short => self.large.pop_first(),
-            (Some(_), _) => self.short.pop_first(),
-            (None, Some(_)) => self.large.pop_first(),
+            (Some(short), Some(large)) if large < short => self.large_queue.pop_first(),
+            (Some(_), _) => self.short_queue.pop_first(),
+            (None, Some(_)) => self.large_queue.pop_first(),
             (None, None) => None,
         }
     }
 
-    fn line(&mut self, route: &RouteName) -> &mut WaitQueue {
+    fn queue(&mut self, route: &RouteName) -> &mut WaitQueue {
         match self.sizes.large(route) {
-            Some(_) => &mut self.large,
-            None => &mut self.short,
+            Some(_) => &mut self.large_queue,
+            None => &mut self.short_queue,
         }
     }
 
-    fn return_time(&self, wait: Duration) -> Duration {
-        wait.clamp(SHORTEST_RETURN, LONGEST_RETURN)
+    fn retry_after(&self, wait: Duration) -> Duration {
+        wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    /// Puts behind the others what can't meet its objective any more. By deadline alone, a burst
-    /// would make every later answer late too.
+    /// Moves requests that can't meet their objective any more behind the others. If requests were
+    /// ordered by deadline alone, a burst would make every later response late too.
     fn demote_late(&mut self, now: Moment) {
         for large in [false, true] {
-            let line = if large { &self.large } else { &self.short };
-            let late = line.tickets_of(|job, late| {
-                !late && now + self.needed(job, NEEDED_IN_TIME) > job.objective
+            let queue = if large {
+                &self.large_queue
+            } else {
+                &self.short_queue
+            };
+            let late = queue.tickets_of(|request, late| {
+                !late && now + self.required_time(request, ON_TIME_FACTOR) > request.objective
             });
-            let line = if large {
-                &mut self.large
+            let queue = if large {
+                &mut self.large_queue
             } else {
-                &mut self.short
+                &mut self.short_queue
             };
             for ticket in late {
-                line.demote(ticket);
+                queue.demote(ticket);
             }
         }
     }
 
-    fn drop_hopeless(&mut self, now: Moment, actions: &mut Vec<AdmissionAction>) {
-        let hopeless = |job: &AdmissionRequest, _| now + self.needed(job, NEEDED) > job.deadline;
-        let short = self.short.tickets_of(hopeless);
-        let large = self.large.tickets_of(hopeless);
+    fn refuse_late(&mut self, now: Moment, actions: &mut Vec<AdmissionAction>) {
+        let is_too_late = |request: &AdmissionRequest, _| {
+            now + self.required_time(request, MIN_TIME_FACTOR) > request.deadline
+        };
+        let short = self.short_queue.tickets_of(is_too_late);
+        let large = self.large_queue.tickets_of(is_too_late);
         for ticket in short.into_iter().chain(large) {
             self.refuse(ticket, RefusalReason::Expired, actions);
         }
-        // Without this a late request would be held until its time is over, though it was clear long
-        // before that others take all turns; its caller could have come back meanwhile.
-        for ticket in self.waiting_in_vain(now) {
+        // Without this, a late request would wait until its deadline though it is clear long before
+        // that other requests take all slots; its caller could have retried meanwhile.
+        for ticket in self.starving(now) {
             self.refuse(ticket, RefusalReason::Full, actions);
         }
     }
@@ -238,6 +253,6 @@
         actions: &mut Vec<AdmissionAction>,
     ) {
         self.cancel(ticket);
-        actions.push(AdmissionAction::Refuse(ticket, reason, SHORTEST_RETURN));
+        actions.push(AdmissionAction::Refuse(ticket, reason, MIN_RETRY_AFTER));
     }
 }
--- a/crates/mesh/src/traffic/admission/cold_rate.rs
+++ b/crates/mesh/src/traffic/admission/cold_rate.rs
@@ -1,19 +1,19 @@
-//! How much a cold backend server bears.
+//! The rate that a cold backend server can handle.
 
-/// Says how many requests a cold backend server may get.
+/// How many requests a cold backend server may get.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum ColdRate {
-    /// Nobody has said yet. A process that has started while the store is away does not know the
+    /// Not known yet: a process that starts while the store is unreachable does not know the
     /// operators' document.
     #[default]
     Unknown,
     /// The service has no cold start.
     Unlimited,
-    /// So many requests a second.
+    /// A rate in requests per second.
     PerSecond {
-        /// As many are begun.
+        /// The highest rate of admissions.
         begun: f64,
-        /// As many may reach the server.
+        /// The highest rate at which requests are sent to the server.
         most: f64,
     },
 }
--- a/crates/mesh/src/traffic/admission/cold_start_limiter.rs
+++ b/crates/mesh/src/traffic/admission/cold_start_limiter.rs
@@ -1,4 +1,4 @@
-//! What a cold backend server bears.
+//! The rate limit of a cold backend server.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,131 +7,134 @@
 
 use super::ColdRate;
 
-/// The span over which requests to a cold server are counted.
-const SPAN: Duration = Duration::from_millis(1_000);
-/// Widens that span: what is sent evenly may arrive a little bunched.
-const BUNCHING: Duration = Duration::from_millis(50);
-/// How soon a request may ask again while the rate is not known.
-const UNKNOWN: Duration = Duration::from_millis(100);
+/// The window over which requests to a cold server are counted.
+const WINDOW: Duration = Duration::from_millis(1_000);
+/// Extends the window: requests that are sent evenly may arrive less evenly.
+const JITTER: Duration = Duration::from_millis(50);
+/// The delay until the next attempt while the rate is unknown.
+const UNKNOWN_RATE_DELAY: Duration = Duration::from_millis(100);
 
-/// Holds requests back while the server is cold: above its rate it crashes, and every request in it
-/// is lost.
+/// Limits the rate of requests while the server is cold: above its rate it crashes, and all its
+/// requests are lost.
 ///
-/// A request is counted twice: when it is begun, so that the rest waits where it can be refused, and when
-/// it is written. Opening a connection takes a while, most of all to a server that has just started, and
-/// what was begun in one second may be written in the next.
+/// A request is counted twice: when it is admitted, so that the others wait where they can be
+/// refused, and when it is sent. Opening a connection takes time, especially to a server that has
+/// just started, so requests admitted in one second may be sent in the next.
 #[derive(Clone, Debug, Default)]
 pub struct ColdStartLimiter {
     rate: ColdRate,
-    until: Moment,
-    /// Whether another life of the server may listen, which is cold.
-    doubted: bool,
-    begun: VecDeque<Moment>,
-    written: VecDeque<Moment>,
-    /// Until when an earlier process may have sent all that a second allows.
-    inherited_until: Moment,
+    cold_until: Moment,
+    /// Whether the server may have restarted, in which case it is cold.
+    maybe_restarted: bool,
+    admitted: VecDeque<Moment>,
+    sent: VecDeque<Moment>,
+    /// Until when requests of an earlier process may count towards the rate.
+    blocked_until: Moment,
 }
 
 impl ColdStartLimiter {
-    /// Starts with a process. One before it, killed a moment ago, may have sent as many requests as a
-    /// second allows: both together would be more than a cold server bears. So nothing goes to a cold
-    /// server until that second is over.
+    /// Blocks requests to a cold server for the first window after the process starts. An earlier
+    /// process, killed a moment ago, may have sent all requests that a second allows, and both
+    /// together would exceed the rate that a cold server can handle.
     pub fn block_first_window(&mut self, now: Moment) {
-        self.inherited_until = now + SPAN + BUNCHING;
+        self.blocked_until = now + WINDOW + JITTER;
     }
 
-    /// Sets what a cold server bears.
+    /// Sets the rate that a cold server can handle.
     pub fn set_rate(&mut self, rate: ColdRate) {
         self.rate = rate;
     }
 
-    /// Learns until when the server is cold.
+    /// Sets until when the server is cold.
     pub fn set_cold_until(&mut self, until: Moment) {
-        self.until = until;
+        self.cold_until = until;
     }
 
-    /// Learns whether another life of the server may listen in place of the one that was heard last.
-    pub fn set_maybe_restarted(&mut self, doubted: bool) {
-        self.doubted = doubted;
+    /// Sets whether the server may have restarted since its last heartbeat.
+    pub fn set_maybe_restarted(&mut self, maybe_restarted: bool) {
+        self.maybe_restarted = maybe_restarted;
     }
 
-    /// Returns when the next request may be begun; none if it may be now.
+    /// Returns how long the next request has to wait for its admission; none if it may be admitted
+    /// now.
     pub fn admit_delay(&mut self, now: Moment) -> Option<Duration> {
-        forget(&mut self.begun, now);
+        drop_old(&mut self.admitted, now);
         if !self.is_cold(now) {
             return None;
         }
-        let most = match self.rate {
-            ColdRate::Unknown => return Some(UNKNOWN),
+        let limit = match self.rate {
+            ColdRate::Unknown => return Some(UNKNOWN_RATE_DELAY),
             ColdRate::Unlimited => return None,
             ColdRate::PerSecond { begun, .. } => begun,
         };
-        if now < self.inherited_until {
-            return Some(self.inherited_until.since(now));
+        if now < self.blocked_until {
+            return Some(self.blocked_until.since(now));
         }
-        room(&self.begun, now, most)
+        delay_until_room(&self.admitted, now, limit)
     }
 
-    /// Counts a request that is begun.
+    /// Counts a request that is admitted.
     pub fn record_admitted(&mut self, now: Moment) {
-        self.begun.push_back(now);
+        self.admitted.push_back(now);
     }
 
-    /// Counts a request that is written now; if it may not be, returns when to ask again.
+    /// Counts a request that is sent now. If it must not be sent yet, returns the delay until the
+    /// next attempt instead.
     pub fn try_send(&mut self, now: Moment) -> Option<Duration> {
-        forget(&mut self.written, now);
+        drop_old(&mut self.sent, now);
         let wait = match self.rate {
             _ if !self.is_cold(now) => None,
-            ColdRate::Unknown => Some(UNKNOWN),
+            ColdRate::Unknown => Some(UNKNOWN_RATE_DELAY),
             ColdRate::Unlimited => None,
-            ColdRate::PerSecond { most, .. } => room(&self.written, now, most),
+            ColdRate::PerSecond { most, .. } => delay_until_room(&self.sent, now, most),
         };
         if wait.is_none() {
-            self.written.push_back(now);
+            self.sent.push_back(now);
         }
         wait
     }
 
-    /// Tells whether the server is cold, or may be.
+    /// Returns whether the server is cold, or may be.
     pub fn is_cold(&self, now: Moment) -> bool {
-        self.rate != ColdRate::Unlimited && (self.doubted || now < self.until)
+        self.rate != ColdRate::Unlimited && (self.maybe_restarted || now < self.cold_until)
     }
 
-    /// Tells whether the server is cold and nobody has said what it bears: nothing may go.
+    /// Returns whether nothing may be sent because the server is cold and its rate is unknown.
     pub fn is_blocked(&self, now: Moment) -> bool {
         self.rate == ColdRate::Unknown && self.is_cold(now)
     }
 
-    /// Returns how many requests were begun and written within the last second.
+    /// Returns how many requests were admitted and how many were sent within the last second.
     pub fn recent_counts(&mut self, now: Moment) -> (usize, usize) {
-        forget(&mut self.begun, now);
-        forget(&mut self.written, now);
-        (self.begun.len(), self.written.len())
+        drop_old(&mut self.admitted, now);
+        drop_old(&mut self.sent, now);
+        (self.admitted.len(), self.sent.len())
     }
 
-    /// Returns what a cold server bears, as far as known.
+    /// Returns the rate that a cold server can handle, as far as known.
     pub fn rate(&self) -> ColdRate {
         self.rate
     }
 
     /// Returns until when the server is cold.
     pub fn cold_until(&self) -> Moment {
-        self.until
+        self.cold_until
     }
 }
 
-fn forget(counted: &mut VecDeque<Moment>, now: Moment) {
-    let old = |at: &Moment| now.since(*at) >= SPAN + BUNCHING;
-    while counted.front().is_some_and(old) {
+fn drop_old(counted: &mut VecDeque<Moment>, now: Moment) {
+    let is_old = |at: &Moment| now.since(*at) >= WINDOW + JITTER;
+    while counted.front().is_some_and(is_old) {
         counted.pop_front();
     }
 }
 
-/// Returns when one more fits into a second of at most so many; none if it does now.
-fn room(counted: &VecDeque<Moment>, now: Moment, most: f64) -> Option<Duration> {
-    if (counted.len() as f64) + 1.0 <= most.max(1.0) {
+/// Returns how long until one more request fits into a window of at most `limit` requests; none if
+/// it fits now.
+fn delay_until_room(counted: &VecDeque<Moment>, now: Moment, limit: f64) -> Option<Duration> {
+    if (counted.len() as f64) + 1.0 <= limit.max(1.0) {
         return None;
     }
     let oldest = counted.front()?;
-    Some((SPAN + BUNCHING).saturating_sub(now.since(*oldest)))
+    Some((WINDOW + JITTER).saturating_sub(now.since(*oldest)))
 }
--- a/crates/mesh/src/traffic/admission/forecast.rs
+++ b/crates/mesh/src/traffic/admission/forecast.rs
@@ -1,4 +1,4 @@
-//! When a request would be answered, and whether it is worth waiting.
+//! When a waiting request would be served, and whether waiting is worthwhile.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,120 +10,130 @@
 use super::Ticket;
 use super::wait_queue::PriorityClass;
 
-/// The share of a request's usual time that must be left at its turn. Work is spread widely around
-/// its mean, so many answers come in less.
-pub(super) const NEEDED: f64 = 0.7;
-/// The share that must be left until its objective to count as in time. With one or less, a burst
-/// would hold every request to the last moment and answer most of them just too late.
-pub(super) const NEEDED_IN_TIME: f64 = 1.4;
-/// The share that a request leaves which joins the line. While more come than can be served, the line
-/// is as long as it may be, and with no more than is needed every request would start at the last
-/// moment: work that takes a little longer than usual would be late.
-const NEEDED_AT_ARRIVAL: f64 = 2.2;
-/// The part of the time until its objective that a request may wait in any case: on a slow server
-/// twice the usual time is more than the whole objective.
-const WAIT_IN_ANY_CASE: f64 = 0.15;
+/// The multiple of a route's mean service time that must be left until the deadline when a request
+/// starts. Service times vary widely around their mean, so many responses take less.
+pub(super) const MIN_TIME_FACTOR: f64 = 0.7;
+/// The multiple that must be left until the objective for a request to count as on time. With one or
+/// less, a burst would delay every request to the last moment and most responses would be just too
+/// late.
+pub(super) const ON_TIME_FACTOR: f64 = 1.4;
+/// The multiple that must be left until the objective for a request that joins the queue. Under
+/// overload the queue is as long as it may be, and with a lower factor every request would start at
+/// the last moment: those that take a little longer than the mean would be late.
+const ON_TIME_ARRIVAL_FACTOR: f64 = 2.2;
+/// The share of the time until its objective that a request may always wait: on a slow server, twice
+/// the mean service time exceeds the whole objective.
+const ALLOWED_WAIT_SHARE: f64 = 0.15;
 
 impl Admission {
-    /// Returns how long a request waits for a slot.
-    pub(super) fn expected_wait(&mut self, now: Moment, job: &AdmissionRequest) -> Duration {
+    /// Returns the expected wait of a request for a slot.
+    pub(super) fn expected_wait(&mut self, now: Moment, request: &AdmissionRequest) -> Duration {
         if self.slots == 0 {
             return Duration::ZERO;
         }
-        let cold = self.cold.admit_delay(now).unwrap_or_default();
+        let cold = self.cold_limiter.admit_delay(now).unwrap_or_default();
         if self.running.len() < self.slots {
             return cold;
         }
-        let ahead = self.ahead(job, false);
-        let turns = (ahead + 1) as f64 / self.slots as f64;
-        cold + self.pace.mean().mul_f64(turns)
+        let ahead = self.ahead(request, false);
+        let rounds = (ahead + 1) as f64 / self.slots as f64;
+        cold + self.service_times.mean().mul_f64(rounds)
     }
 
-    /// Returns after which time a request that waits for so long is answered, if its work takes
-    /// `share` of its usual time.
-    pub(super) fn finish(
+    /// Returns the time until a request with the given wait is served, if it takes `factor` times
+    /// the mean service time of its route.
+    pub(super) fn completion_time(
         &mut self,
         now: Moment,
-        job: &AdmissionRequest,
+        request: &AdmissionRequest,
         wait: Duration,
-        share: f64,
+        factor: f64,
     ) -> Duration {
-        let worked = wait + self.pace.of(&job.route).mul_f64(share);
-        let Some(bytes) = self.sizes.large(&job.route) else {
-            return worked;
+        let served = wait + self.service_times.of(&request.route).mul_f64(factor);
+        let Some(bytes) = self.sizes.large(&request.route) else {
+            return served;
         };
-        let ahead = self.large.ahead(job, false) as f64;
+        let ahead = self.large_queue.ahead(request, false) as f64;
         let link = self.backlog.time(now) + self.backlog.time_for(ahead * bytes);
-        worked.max(link) + self.carried(bytes)
+        served.max(link) + self.transfer_time(bytes)
     }
 
-    /// Tells whether a request that arrives now will miss its objective, by what is known.
-    pub(super) fn is_late(&mut self, now: Moment, job: &AdmissionRequest, wait: Duration) -> bool {
-        let left = job.objective.since(now);
-        let roomy = self.finish(now, job, wait, NEEDED_AT_ARRIVAL) <= left;
-        let soon = wait <= left.mul_f64(WAIT_IN_ANY_CASE);
-        !(roomy || soon && self.finish(now, job, wait, NEEDED_IN_TIME) <= left)
+    /// Returns whether a request that arrives now is expected to miss its objective.
+    pub(super) fn is_late(
+        &mut self,
+        now: Moment,
+        request: &AdmissionRequest,
+        wait: Duration,
+    ) -> bool {
+        let left = request.objective.since(now);
+        let has_margin = self.completion_time(now, request, wait, ON_TIME_ARRIVAL_FACTOR) <= left;
+        let short_wait = wait <= left.mul_f64(ALLOWED_WAIT_SHARE);
+        !(has_margin
+            || short_wait && self.completion_time(now, request, wait, ON_TIME_FACTOR) <= left)
     }
 
-    /// Tells whether a request that is late anyway would wait in vain: those before it are started
-    /// too rarely.
-    pub(super) fn is_crowded(&mut self, now: Moment, job: &AdmissionRequest) -> bool {
-        let ahead = self.ahead(job, true);
+    /// Returns whether a late request would not get a slot in time because the requests ahead of it
+    /// are admitted too rarely.
+    pub(super) fn would_starve(&mut self, now: Moment, request: &AdmissionRequest) -> bool {
+        let ahead = self.ahead(request, true);
         let class = PriorityClass {
-            rank: job.rank,
+            rank: request.rank,
             late: true,
         };
         let rate = self
-            .starts
-            .rate(now, class, self.usual_rate(self.pace.mean()));
+            .rates
+            .rate(now, class, self.capacity(self.service_times.mean()));
         let wait = (ahead + 1) as f64 / rate;
-        ahead > 0 && wait > job.deadline.since(now).as_secs_f64()
+        ahead > 0 && wait > request.deadline.since(now).as_secs_f64()
     }
 
-    /// Returns those of the waiting late requests that will not get their turn in time: so many of their
-    /// class go before them that, at the rate at which these are started, it comes too late.
-    pub(super) fn waiting_in_vain(&mut self, now: Moment) -> Vec<Ticket> {
-        // A server slowed down for tenths of a second is no reason to refuse what waits already.
-        let usual = self.usual_rate(self.pace.best_mean());
-        let late = self.short.late().chain(self.large.late());
+    /// Returns the waiting late requests that will not get a slot in time, given the number of
+    /// requests of their class ahead of them and the rate at which that class is admitted.
+    pub(super) fn starving(&mut self, now: Moment) -> Vec<Ticket> {
+        // A slowdown of the server for tenths of a second is no reason to refuse requests that
+        // already wait.
+        let capacity = self.capacity(self.service_times.best_mean());
+        let late = self.short_queue.late().chain(self.large_queue.late());
         let late: Vec<(PriorityClass, Ticket, Duration)> = late
-            .map(|(class, job)| {
-                let last_start = job.deadline.before(self.needed(job, NEEDED));
-                (class, job.ticket, last_start.since(now))
+            .map(|(class, request)| {
+                let last_start = request
+                    .deadline
+                    .before(self.required_time(request, MIN_TIME_FACTOR));
+                (class, request.ticket, last_start.since(now))
             })
             .collect();
         let mut before: BTreeMap<PriorityClass, usize> = BTreeMap::new();
-        let mut vain = Vec::new();
+        let mut starving = Vec::new();
         for (class, ticket, left) in late {
             let before = before.entry(class).or_default();
-            let wait = (*before + 1) as f64 / self.starts.rate(now, class, usual);
+            let wait = (*before + 1) as f64 / self.rates.rate(now, class, capacity);
             match wait > left.as_secs_f64() {
-                true => vain.push(ticket),
+                true => starving.push(ticket),
                 false => *before += 1,
             }
         }
-        vain
+        starving
     }
 
-    /// Returns how many requests a second the server can start if they take `pace`.
-    fn usual_rate(&self, pace: Duration) -> f64 {
-        let pace = pace.as_secs_f64().max(f64::MIN_POSITIVE);
-        self.slots as f64 / pace
+    /// Returns how many requests per second the server can start if each takes `service_time`.
+    fn capacity(&self, service_time: Duration) -> f64 {
+        let seconds = service_time.as_secs_f64().max(f64::MIN_POSITIVE);
+        self.slots as f64 / seconds
     }
 
-    /// Returns how many would go before a request that is late or not.
-    fn ahead(&self, job: &AdmissionRequest, late: bool) -> usize {
-        self.short.ahead(job, late) + self.large.ahead(job, late)
+    /// Returns how many waiting requests would go before this one, given whether it is late.
+    fn ahead(&self, request: &AdmissionRequest, late: bool) -> usize {
+        self.short_queue.ahead(request, late) + self.large_queue.ahead(request, late)
     }
 
-    pub(super) fn needed(&self, job: &AdmissionRequest, share: f64) -> Duration {
-        let bytes = self.sizes.large(&job.route).unwrap_or_default();
-        self.pace.of(&job.route).mul_f64(share) + self.carried(bytes)
+    pub(super) fn required_time(&self, request: &AdmissionRequest, factor: f64) -> Duration {
+        let bytes = self.sizes.large(&request.route).unwrap_or_default();
+        self.service_times.of(&request.route).mul_f64(factor) + self.transfer_time(bytes)
     }
 
-    /// Returns how long an answer is on its way: over this host's link, and then from the client's
-    /// node, whose link is taken to be as wide.
-    fn carried(&self, bytes: f64) -> Duration {
+    /// Returns the transfer time of a response: over this host's link, and then over that of the
+    /// client's node, whose rate is assumed to be equal.
+    fn transfer_time(&self, bytes: f64) -> Duration {
         self.backlog.time_for(bytes) * 2
     }
 }
--- a/crates/mesh/src/traffic/admission/mod.rs
+++ b/crates/mesh/src/traffic/admission/mod.rs
@@ -1,8 +1,8 @@
-//! Which requests go to the backend server beside the node, and when.
+//! Admission control for the local backend server: which requests it gets, and when.
 //!
-//! Load pattern: bursts of up to twice what the server can do, its own host slowing it down for
-//! tenths of a second, cold starts in which it bears a few requests a second, and calls of other
-//! servers whose parents fail with them.
+//! It is designed for bursts of up to twice the server's capacity, hosts that slow their server down
+//! for tenths of a second, cold starts in which a server handles a few requests per second, and
+//! calls from other servers whose own requests fail with them.
 
 mod admission_machine;
 mod admission_rates;
--- a/crates/mesh/src/traffic/admission/wait_queue.rs
+++ b/crates/mesh/src/traffic/admission/wait_queue.rs
@@ -1,4 +1,4 @@
-//! The requests that wait.
+//! The requests that wait for a slot.
 
 use std::collections::BTreeMap;
 
@@ -7,25 +7,25 @@
 use super::AdmissionRequest;
 use super::Ticket;
 
-/// Orders waiting requests by class, each class by its time.
+/// Orders waiting requests by class, then by objective or, for late requests, by deadline.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WaitQueue {
-    jobs: BTreeMap<QueuePosition, AdmissionRequest>,
-    places: BTreeMap<Ticket, QueuePosition>,
+    requests: BTreeMap<QueuePosition, AdmissionRequest>,
+    positions: BTreeMap<Ticket, QueuePosition>,
 }
 
-/// Orders requests by rank, then by what their answers are worth: those that can still meet their
-/// objective go before those that can't.
+/// Orders requests by rank, and within a rank puts those first that can still meet their objective.
 ///
-/// Rank goes first, since what is urgent is often a call for which a request elsewhere waits: late,
-/// it is still of use, and without it that request's work was for nothing.
+/// Rank goes first because an urgent request is often a call on which a request at another server
+/// depends: a late response is still useful, and without one that other request fails after its work
+/// is done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PriorityClass {
     pub(super) rank: u32,
     pub(super) late: bool,
 }
 
-/// Is a job's place; smaller ones go first.
+/// The position of a request in the queue; smaller ones go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueuePosition {
     pub(super) class: PriorityClass,
@@ -34,81 +34,87 @@
 }
 
 impl QueuePosition {
-    fn of(job: &AdmissionRequest, late: bool) -> Self {
+    fn of(request: &AdmissionRequest, late: bool) -> Self {
         Self {
             class: PriorityClass {
-                rank: job.rank,
+                rank: request.rank,
                 late,
             },
             time: match late {
-                true => job.deadline,
-                false => job.objective,
+                true => request.deadline,
+                false => request.objective,
             },
-            ticket: job.ticket,
+            ticket: request.ticket,
         }
     }
 }
 
 impl WaitQueue {
-    pub(super) fn insert(&mut self, job: AdmissionRequest, late: bool) {
-        let place = QueuePosition::of(&job, late);
-        self.places.insert(job.ticket, place);
-        self.jobs.insert(place, job);
+    pub(super) fn insert(&mut self, request: AdmissionRequest, late: bool) {
+        let position = QueuePosition::of(&request, late);
+        self.positions.insert(request.ticket, position);
+        self.requests.insert(position, request);
     }
 
     pub(super) fn first(&self) -> Option<(QueuePosition, &AdmissionRequest)> {
-        self.jobs
+        self.requests
             .first_key_value()
-            .map(|(place, job)| (*place, job))
+            .map(|(position, request)| (*position, request))
     }
 
-    /// Takes the first job, with its class.
+    /// Removes and returns the first request, with its class.
     pub(super) fn pop_first(&mut self) -> Option<(AdmissionRequest, PriorityClass)> {
-        let (place, job) = self.jobs.pop_first()?;
-        self.places.remove(&job.ticket);
-        Some((job, place.class))
+        let (position, request) = self.requests.pop_first()?;
+        self.positions.remove(&request.ticket);
+        Some((request, position.class))
     }
 
     pub(super) fn remove(&mut self, ticket: Ticket) -> Option<AdmissionRequest> {
-        let place = self.places.remove(&ticket)?;
-        self.jobs.remove(&place)
+        let position = self.positions.remove(&ticket)?;
+        self.requests.remove(&position)
     }
 
     pub(super) fn len(&self) -> usize {
-        self.jobs.len()
+        self.requests.len()
     }
 
-    /// Returns how many would go before a job that is `late` or not.
-    pub(super) fn ahead(&self, job: &AdmissionRequest, late: bool) -> usize {
-        self.jobs.range(..QueuePosition::of(job, late)).count()
+    /// Returns how many waiting requests would go before this one, given whether it is late.
+    pub(super) fn ahead(&self, request: &AdmissionRequest, late: bool) -> usize {
+        self.requests
+            .range(..QueuePosition::of(request, late))
+            .count()
     }
 
-    pub(super) fn jobs(&self) -> impl Iterator<Item = &AdmissionRequest> {
-        self.jobs.values()
+    pub(super) fn requests(&self) -> impl Iterator<Item = &AdmissionRequest> {
+        self.requests.values()
     }
 
-    /// Returns the jobs for which `is_wanted` holds; it is also told whether they are late.
-    pub(super) fn tickets_of<F>(&self, is_wanted: F) -> Vec<Ticket>
+    /// Returns the tickets of the requests that match `predicate`, which also gets whether a request
+    /// is late.
+    pub(super) fn tickets_of<F>(&self, predicate: F) -> Vec<Ticket>
     where
         F: Fn(&AdmissionRequest, bool) -> bool,
     {
-        let wanted = self
-            .jobs
+        let matching = self
+            .requests
             .iter()
-            .filter(|(place, job)| is_wanted(job, place.class.late));
-        wanted.map(|(_, job)| job.ticket).collect()
+            .filter(|(position, request)| predicate(request, position.class.late));
+        matching.map(|(_, request)| request.ticket).collect()
     }
 
-    /// Returns the late jobs, those that go first before the others.
+    /// Returns the late requests in the order of the queue.
     pub(super) fn late(&self) -> impl Iterator<Item = (PriorityClass, &AdmissionRequest)> {
-        let late = self.jobs.iter().filter(|(place, _)| place.class.late);
-        late.map(|(place, job)| (place.class, job))
+        let late = self
+            .requests
+            .iter()
+            .filter(|(position, _)| position.class.late);
+        late.map(|(position, request)| (position.class, request))
     }
 
-    /// Puts a job among the late ones.
+    /// Marks a request as late.
     pub(super) fn demote(&mut self, ticket: Ticket) {
-        if let Some(job) = self.remove(ticket) {
-            self.insert(job, true);
+        if let Some(request) = self.remove(ticket) {
+            self.insert(request, true);
         }
     }
 }
