--- a/crates/mesh/src/traffic/balancing/load_balancer.rs
+++ b/crates/mesh/src/traffic/balancing/load_balancer.rs
@@ -1,4 +1,4 @@
-//! The choice.
+//! Load balancing among the nodes of a service.
 
 use std::collections::BTreeMap;
 
@@ -17,28 +17,26 @@
 use crate::ownership::NodeLoad;
 use crate::traffic::link::ResponseSizes;
 
-/// What the way to another zone counts like, in shares of a server's slots: the own zone is taken
-/// until its server is this much fuller than another.
+/// The cost of another zone, as utilization of a server: the own zone is preferred until its server
+/// is this much busier than another.
 const ZONE_COST: f64 = 0.35;
-/// How much of its cost is left to chance, so that nodes with the same table do not all choose the
-/// same server.
-const CHANCE: f64 = 0.1;
-/// Below this fill a server has a free slot for the request in any case.
-const ROOMY: f64 = 0.7;
-/// What a share of failures counts like, in shares of a server's slots.
+/// The largest random cost, so that nodes with the same table do not all choose the same server.
+const MAX_RANDOM_COST: f64 = 0.1;
+/// The utilization below which a server certainly has a free slot for the request.
+const FREE_UTILIZATION: f64 = 0.7;
+/// The cost of a failure rate of one, as utilization of a server.
 const FAILURE_COST: f64 = 2.0;
-/// What a second of large answers before this one at the host's link counts like, for a request whose
-/// answer will be large too.
-const LINK_COST: f64 = 1.0;
-/// What the way to another zone counts like beside [`ZONE_COST`], for a request whose answer will be
-/// large: its bytes cross two links more, and nodes that follow a table half a second old would all
-/// fill the same free link. With both, the way pays when it saves
-/// 1.35 s.
+/// The cost per second of backlog at the host's link, for a request whose response will be large.
+const LINK_COST_PER_SECOND: f64 = 1.0;
+/// The cost of another zone in addition to [`ZONE_COST`], for a request whose response will be large:
+/// its bytes cross two more links, and nodes that follow a table half a second old would all fill the
+/// same free link. With both costs, another zone is worthwhile when it saves 1.35 s.
 const LARGE_ZONE_COST: f64 = 1.0;
-/// What a cold server counts like; it bears a few requests a second.
+/// The cost of a cold server, which can handle only a few requests per second.
 const COLD_COST: f64 = 0.8;
 
-/// Chooses nodes by the fill of their servers, the way, and what became of recent requests.
+/// Chooses nodes by the utilization of their servers, their zone, and the outcome of recent
+/// requests.
 #[derive(Clone, Debug)]
 pub struct LoadBalancer {
     zone: ZoneName,
@@ -48,7 +46,7 @@
 }
 
 impl LoadBalancer {
-    /// Makes a chooser for a node in `zone`.
+    /// Creates a load balancer for a node in `zone`; equal seeds make equal choices.
     pub fn new(zone: ZoneName, seed: u64) -> Self {
         Self {
             zone,
@@ -58,8 +56,8 @@
         }
     }
 
-    /// Chooses a node whose server runs a service, leaving out those in `tried`, for a request of
-    /// `route`.
+    /// Chooses a node for a request of `route` among those whose server runs the service, except
+    /// the nodes in `tried`.
     pub fn choose(
         &mut self,
         now: Moment,
@@ -75,12 +73,12 @@
         let mut best: Option<(f64, &NodeName)> = None;
         for (name, entry) in usable {
             let peer = self.peers.get(name);
-            let chance = self.random.random::<f64>() * CHANCE;
+            let random_cost = self.random.random::<f64>() * MAX_RANDOM_COST;
             let link = match large {
                 true => link_cost(now, &self.zone, entry, peer),
                 false => 0.0,
             };
-            let cost = cost(now, &self.zone, entry, peer) + link + chance;
+            let cost = cost(now, &self.zone, entry, peer) + link + random_cost;
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, name));
             }
@@ -88,24 +86,24 @@
         best.map(|(_, name)| name.clone())
     }
 
-    /// Tells whether a node could lately not be reached.
+    /// Returns whether a node is avoided because it was unreachable lately.
     pub fn is_avoided(&self, now: Moment, node: &NodeName) -> bool {
         self.peers
             .get(node)
             .is_some_and(|peer| peer.is_avoided(now))
     }
 
-    /// Learns how large an answer was.
+    /// Records the size of a response.
     pub fn record_response_size(&mut self, route: &RouteName, bytes: usize) {
-        self.sizes.learn(route, bytes);
+        self.sizes.record(route, bytes);
     }
 
-    /// Counts a request that is sent to a node.
+    /// Records that a request was sent to a node.
     pub fn record_sent(&mut self, node: &NodeName) {
         self.peers.entry(node.clone()).or_default().record_sent();
     }
 
-    /// Learns how a request at a node ended, and the load that came with the answer.
+    /// Records how a request at a node ended, and the load reported with the response.
     pub fn record_ended(
         &mut self,
         now: Moment,
@@ -119,7 +117,7 @@
             .record_ended(now, load, failed);
     }
 
-    /// Learns that a node could not be reached.
+    /// Records that a node was unreachable.
     pub fn record_unreachable(&mut self, now: Moment, node: &NodeName) {
         self.peers
             .entry(node.clone())
@@ -139,13 +137,13 @@
     entry: &DirectoryEntry,
     peer: Option<&PeerStats>,
 ) -> f64 {
-    let reported = peer.and_then(|peer| peer.fresh(now));
+    let reported = peer.and_then(|peer| peer.recent_load(now));
     let link = reported.map_or(entry.load.link_backlog(), |load| f64::from(load.backlog_ms));
-    let way = match entry.member.zone == *zone {
+    let zone_cost = match entry.member.zone == *zone {
         true => 0.0,
         false => LARGE_ZONE_COST,
     };
-    link / 1_000.0 * LINK_COST + way
+    link / 1_000.0 * LINK_COST_PER_SECOND + zone_cost
 }
 
 fn cost(now: Moment, zone: &ZoneName, entry: &DirectoryEntry, peer: Option<&PeerStats>) -> f64 {
@@ -156,8 +154,8 @@
         .server
         .as_ref()
         .map_or(1, |server| server.slots);
-    let fill = peer.fill(now, entry.load, slots);
-    let way = if entry.member.zone == *zone {
+    let utilization = peer.utilization(now, entry.load, slots);
+    let zone_cost = if entry.member.zone == *zone {
         0.0
     } else {
         ZONE_COST
@@ -168,7 +166,11 @@
         .as_ref()
         .is_some_and(|server| server.cold);
     let cold = if cold { COLD_COST } else { 0.0 };
-    // Far beyond any fill: a node that can't be reached is the last choice.
-    let away = if peer.is_avoided(now) { 10.0 } else { 0.0 };
-    (fill - ROOMY).max(0.0) + way + cold + peer.failures() * FAILURE_COST + away
+    // Far beyond any utilization: an unreachable node is the last choice.
+    let unreachable_cost = if peer.is_avoided(now) { 10.0 } else { 0.0 };
+    (utilization - FREE_UTILIZATION).max(0.0)
+        + zone_cost
+        + cold
+        + peer.failure_rate() * FAILURE_COST
+        + unreachable_cost
 }
--- a/crates/mesh/src/traffic/balancing/mod.rs
+++ b/crates/mesh/src/traffic/balancing/mod.rs
@@ -1,7 +1,7 @@
-//! Which node gets a request that any backend server of its service may run.
+//! Load balancing of requests that any backend server of a service may serve.
 //!
-//! Load pattern: unequal servers whose speed changes many times a second, seen by many nodes that
-//! each know only a part of the traffic.
+//! It is designed for unequal servers whose speed changes many times a second, and for many nodes
+//! that each see only a part of the traffic.
 
 mod load_balancer;
 mod peer_stats;
--- a/crates/mesh/src/traffic/link/link_budget.rs
+++ b/crates/mesh/src/traffic/link/link_budget.rs
@@ -1,32 +1,32 @@
-//! How many bytes may be written now.
+//! The token bucket of the link.
 
 use std::time::Duration;
 
 use quetzalrack_core::time::Moment;
 
-use super::USED;
+use super::USABLE_SHARE;
 use crate::model::LinkRate;
 
-/// How much unused time may be made up for. Longer would fill the link's queue for longer than a
-/// short answer should wait; shorter would leave the link idle between two turns of the timer.
-const BURST: Duration = Duration::from_millis(12);
+/// How much unused link time may be used later. Longer would fill the link's queue for longer than a
+/// short response should wait; shorter would leave the link idle between two expiries of the timer.
+const MAX_BURST: Duration = Duration::from_millis(12);
 
-/// Follows how much of the link's bandwidth has been used.
+/// Tracks the unused bandwidth of a link.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkBudget {
     rate: LinkRate,
-    /// Bytes that may be written; below zero after short messages that did not wait.
+    /// Bytes that may be written; negative after short messages that did not wait.
     credit: f64,
-    at: Moment,
+    refilled_at: Moment,
 }
 
 impl LinkBudget {
-    /// Makes a budget for a link.
+    /// Creates a budget for a link.
     pub fn new(rate: LinkRate) -> Self {
         Self {
             rate,
             credit: 0.0,
-            at: Moment::default(),
+            refilled_at: Moment::default(),
         }
     }
 
@@ -43,10 +43,10 @@
     }
 
     fn refill(&mut self, now: Moment) {
-        let passed = now.since(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        let most = self.usable_rate() * BURST.as_secs_f64();
-        self.credit = (self.credit + passed * self.usable_rate()).min(most);
+        let passed = now.since(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        let max_credit = self.usable_rate() * MAX_BURST.as_secs_f64();
+        self.credit = (self.credit + passed * self.usable_rate()).min(max_credit);
     }
 
     fn usable_time(&self, bytes: f64) -> Duration {
@@ -54,6 +54,6 @@
     }
 
     fn usable_rate(&self) -> f64 {
-        self.rate.bytes_per_second() * USED
+        self.rate.bytes_per_second() * USABLE_SHARE
     }
 }
--- a/crates/mesh/src/traffic/link/link_queue.rs
+++ b/crates/mesh/src/traffic/link/link_queue.rs
@@ -1,4 +1,4 @@
-//! Whose bytes go next.
+//! The order in which messages are written to the link.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,46 +8,46 @@
 use super::link_budget::LinkBudget;
 use crate::model::LinkRate;
 
-/// How many bytes of a long message go at once. Less would cost a wake-up for each few kilobytes;
-/// more would make a short answer wait behind it: these take 7 ms at 10 Mbit/s.
-const PIECE: usize = 8 * 1024;
+/// How many bytes of a long message are written at once. Less would cost a wake-up for every few
+/// kilobytes; more would make short responses wait longer: these take 7 ms at 10 Mbit/s.
+const CHUNK_BYTES: usize = 8 * 1024;
 
-/// Names a long message that is being written; earlier ones have lower numbers.
+/// Identifies a long message that is being written; earlier messages have lower numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MessageId(u64);
 
-/// Lets long messages use the link one after the other.
+/// Lets long messages use the link one after the other, in the order in which they were added.
 ///
-/// The one that began first is finished first: written in turns, all of them would be done as late
-/// as the last. Short messages don't ask, but what they take is counted.
+/// Written in alternation, all of them would complete as late as the last. Short messages don't
+/// wait in the queue, but their bytes are counted.
 #[derive(Clone, Debug)]
 pub struct LinkQueue {
     budget: LinkBudget,
-    newest: u64,
+    last_id: u64,
     waiting: BTreeSet<MessageId>,
 }
 
 impl LinkQueue {
-    /// Makes a queue for a link.
+    /// Creates a queue for a link.
     pub fn new(rate: LinkRate) -> Self {
         Self {
             budget: LinkBudget::new(rate),
-            newest: 0,
+            last_id: 0,
             waiting: BTreeSet::new(),
         }
     }
 
-    /// Gives a long message its place.
+    /// Assigns an id to a long message, which determines its position.
     pub fn add(&mut self) -> MessageId {
-        self.newest += 1;
-        MessageId(self.newest)
+        self.last_id += 1;
+        MessageId(self.last_id)
     }
 
     /// Returns how many bytes of a message may be written now; none if it has to wait for its turn.
-    pub fn request_write(&mut self, now: Moment, turn: MessageId) -> Option<usize> {
-        self.waiting.insert(turn);
-        let is_first = self.waiting.first() == Some(&turn);
-        (is_first && self.budget.wait(now).is_none()).then_some(PIECE)
+    pub fn request_write(&mut self, now: Moment, id: MessageId) -> Option<usize> {
+        self.waiting.insert(id);
+        let is_first = self.waiting.first() == Some(&id);
+        (is_first && self.budget.wait(now).is_none()).then_some(CHUNK_BYTES)
     }
 
     /// Counts bytes that were written, of long and short messages alike.
@@ -55,10 +55,10 @@
         self.budget.record_written(now, bytes);
     }
 
-    /// Takes a message out: it is written whole, given up, or its receiver takes no more for now. A
-    /// slow receiver must not hold up the others.
-    pub fn remove(&mut self, turn: MessageId) {
-        self.waiting.remove(&turn);
+    /// Removes a message that is complete, abandoned, or whose receiver accepts no more bytes for
+    /// now: a slow receiver must not delay the others.
+    pub fn remove(&mut self, id: MessageId) {
+        self.waiting.remove(&id);
     }
 
     /// Returns which message goes next, and how long until then.
--- a/crates/mesh/src/traffic/link/mod.rs
+++ b/crates/mesh/src/traffic/link/mod.rs
@@ -1,17 +1,17 @@
-//! How a host's own link is shared.
+//! Sharing of a host's own network link.
 //!
-//! Load pattern: answers of a hundred kilobytes that ask for more than a narrow link carries, beside
-//! short answers for which another server's work waits. What is written to a full link lies in a
-//! queue that knows neither rank nor deadline, so the queue is kept here, where it can be ordered.
+//! Responses of a hundred kilobytes may need more than a narrow link carries, next to short responses
+//! for which another server's request waits. Bytes written to a full link lie in a queue that knows
+//! neither rank nor deadline, so messages are queued here instead, where they can be ordered.
 
 mod link_backlog;
 mod link_budget;
 mod link_queue;
 mod response_sizes;
 
-/// The part of the link that is used. The rest is for what is not counted here: headers of packets,
+/// The share of the link that is used. The rest is for what is not counted here: headers of packets,
 /// heartbeats and the backend server's own connections.
-const USED: f64 = 0.97;
+const USABLE_SHARE: f64 = 0.97;
 
 pub use link_backlog::LinkBacklog;
 pub use link_queue::LinkQueue;
--- a/crates/mesh/src/traffic/link/response_sizes.rs
+++ b/crates/mesh/src/traffic/link/response_sizes.rs
@@ -1,25 +1,25 @@
-//! How large the answers of a route are.
+//! The response sizes of each route.
 
 use std::collections::BTreeMap;
 
 use quetzalrack_core::ids::RouteName;
 
-/// The weight of a new answer in the mean: sizes spread widely, and the mean is what the link has to
+/// The weight of a new response in the mean: sizes vary widely, and the mean is what the link has to
 /// carry.
 const WEIGHT: f64 = 0.05;
-/// From this mean size on, in bytes, a route's answers are planned for at the link. Shorter ones take
-/// less than 10 ms of a link of 10 Mbit/s.
-const LARGE: f64 = 12_000.0;
+/// The mean size from which a route's responses are scheduled on the link. Smaller ones take less
+/// than 10 ms of a link of 10 Mbit/s.
+const LARGE_BYTES: f64 = 12_000.0;
 
-/// Keeps the mean size of answers by route.
+/// Keeps the mean size of responses by route.
 #[derive(Clone, Debug, Default)]
 pub struct ResponseSizes {
     routes: BTreeMap<RouteName, f64>,
 }
 
 impl ResponseSizes {
-    /// Learns from an answer.
-    pub fn learn(&mut self, route: &RouteName, bytes: usize) {
+    /// Records the size of a response.
+    pub fn record(&mut self, route: &RouteName, bytes: usize) {
         let bytes = bytes as f64;
         match self.routes.get_mut(route) {
             Some(mean) => *mean += (bytes - *mean) * WEIGHT,
@@ -27,11 +27,11 @@
         }
     }
 
-    /// Returns the mean size of a route's answers if they are large; else none.
+    /// Returns the mean size of a route's responses if it is large.
     pub fn large(&self, route: &RouteName) -> Option<f64> {
         self.routes
             .get(route)
             .copied()
-            .filter(|mean| *mean >= LARGE)
+            .filter(|mean| *mean >= LARGE_BYTES)
     }
 }
