--- a/crates/mesh/src/traffic/key_counter.rs
+++ b/crates/mesh/src/traffic/key_counter.rs
@@ -1,4 +1,4 @@
-//! Counting which keys ask for how much work.
+//! The load of each key.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,33 +8,33 @@
 use crate::model::KeyRange;
 use crate::ownership::KeyLoad;
 
-/// The span over which a key's count halves, in seconds: a hot key shows within a second and is
-/// forgotten within a few.
-const HALF_LIFE: f64 = 1.0;
-/// Into how many parts of equal load a server's keys are divided for the leader; more would make
-/// beats longer, fewer would make moves coarser.
-const PARTS: usize = 24;
-/// Counts below this are forgotten: a fiftieth of a request of 100 ms.
-const FORGOTTEN: f64 = 0.002;
+/// The time in which a key's count halves: a hot key shows within a second and is forgotten within
+/// a few.
+const HALF_LIFE_SECONDS: f64 = 1.0;
+/// The number of parts of equal load into which a server's keys are divided for the leader. More
+/// would make heartbeats longer, fewer would make moves coarser.
+const LOAD_PARTS: usize = 24;
+/// Counts below this are dropped: a fiftieth of a request of 100 ms.
+const MIN_COUNT_SECONDS: f64 = 0.002;
 
-/// Counts the work of requests by key, in seconds, with older ones weighing less.
+/// Counts the service time of requests by key, in seconds, with exponential decay.
 #[derive(Clone, Debug, Default)]
 pub struct KeyCounter {
     counts: BTreeMap<u16, f64>,
-    aged: Moment,
+    decayed_at: Moment,
 }
 
 impl KeyCounter {
-    /// Counts one request, which keeps a slot of the server for `work`.
-    pub fn count(&mut self, key: u16, work: Duration) {
-        *self.counts.entry(key).or_default() += work.as_secs_f64();
+    /// Counts a request that occupies a slot of the server for `service_time`.
+    pub fn count(&mut self, key: u16, service_time: Duration) {
+        *self.counts.entry(key).or_default() += service_time.as_secs_f64();
     }
 
-    /// Returns the load of the ranges that a server holds, in parts of about equal load.
+    /// Returns the load of the key ranges that a server holds, in parts of about equal load.
     pub fn loads(&mut self, now: Moment, held: &[KeyRange]) -> Vec<KeyLoad> {
-        self.age(now);
+        self.decay(now);
         let total: f64 = self.counts.values().sum();
-        let part = (total / PARTS as f64).max(f64::MIN_POSITIVE);
+        let part = (total / LOAD_PARTS as f64).max(f64::MIN_POSITIVE);
         let mut loads = Vec::new();
         for range in held {
             self.divide(*range, part, &mut loads);
@@ -46,7 +46,7 @@
         let mut first = range.first;
         let mut sum = 0.0;
         for (key, count) in self.counts.range(range.first..=range.last) {
-            // A busy key starts a part of its own, so that it can move without its neighbours.
+            // A hot key starts a part of its own, so that it can move without adjacent keys.
             if sum > 0.0 && sum + count > part && *key > first {
                 loads.push(load(first, *key - 1, sum));
                 first = *key;
@@ -62,18 +62,18 @@
         loads.push(load(first, range.last, sum));
     }
 
-    fn age(&mut self, now: Moment) {
-        let factor = 0.5_f64.powf(now.since(self.aged).as_secs_f64() / HALF_LIFE);
-        self.aged = now;
+    fn decay(&mut self, now: Moment) {
+        let factor = 0.5_f64.powf(now.since(self.decayed_at).as_secs_f64() / HALF_LIFE_SECONDS);
+        self.decayed_at = now;
         self.counts.retain(|_, count| {
             *count *= factor;
-            *count >= FORGOTTEN
+            *count >= MIN_COUNT_SECONDS
         });
     }
 }
 
 fn load(first: u16, last: u16, sum: f64) -> KeyLoad {
     // Counts that halve every second add up to 1.44 s worth of requests.
-    let slots = sum * std::f64::consts::LN_2 / HALF_LIFE;
+    let slots = sum * std::f64::consts::LN_2 / HALF_LIFE_SECONDS;
     KeyLoad::of(KeyRange { first, last }, slots)
 }
--- a/crates/mesh/src/traffic/mod.rs
+++ b/crates/mesh/src/traffic/mod.rs
@@ -1,4 +1,4 @@
-//! How requests wait, are refused, placed and tried again.
+//! Admission, load balancing and retries of requests.
 
 pub mod admission;
 pub mod balancing;
--- a/crates/mesh/src/traffic/owner_hint.rs
+++ b/crates/mesh/src/traffic/owner_hint.rs
@@ -1,4 +1,4 @@
-//! What a node that refuses a request says of its key's owner.
+//! The owner of a key as a refusing node knows it.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,10 +9,10 @@
 use crate::ownership::Directory;
 use crate::ownership::Epoch;
 
-/// Names the owner of a key by the refusing node's table, and the version of that table.
+/// The owner of a key by the refusing node's table, and the version of that table.
 ///
-/// A node that has just released a key hears of the next owner with its next order; the node that sent the
-/// request may hear of it a whole beat later.
+/// A node that has just released a key learns the next owner from the leader's next reply. The node
+/// that sent the request may learn it a whole heartbeat later.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnerHint {
     /// The epoch of the table.
@@ -23,14 +23,14 @@
     pub node: NodeName,
 }
 
-/// Says that a text names no owner.
+/// The error for a text that is not an owner hint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
-#[error("not an owner of a key: {0:?}")]
+#[error("malformed owner hint: {0:?}")]
 pub struct ParseOwnerHintError(String);
 
 impl OwnerHint {
-    /// Returns the word of a node with this table, if it names an owner.
+    /// Returns the hint of a node with this table, if the table has an owner for the key.
     pub fn of(directory: &Directory, service: &ServiceName, key: u16) -> Option<Self> {
         let node = directory.owner(service, key)?.clone();
         Some(Self {
@@ -40,9 +40,9 @@
         })
     }
 
-    /// Tells whether the word is newer than a table.
-    pub fn is_newer(&self, than: &Directory) -> bool {
-        (self.epoch, self.version) > (than.epoch, than.owners_version)
+    /// Returns whether the hint is from a newer table than `directory`.
+    pub fn is_newer(&self, directory: &Directory) -> bool {
+        (self.epoch, self.version) > (directory.epoch, directory.owners_version)
     }
 }
 
--- a/crates/mesh/src/traffic/owner_wait.rs
+++ b/crates/mesh/src/traffic/owner_wait.rs
@@ -1,9 +1,8 @@
 //! How long a request waits for the next owner of its key.
 //!
-//! The load that this answers: keys that move have no owner for a tenth of a second, and a wait costs
-//! their callers less than coming again; keys of a lost host have none for seconds, and after all
-//! processes have started anew no key has. Then every request would be held for the whole wait and
-//! refused all the same.
+//! Keys that move have no owner for a tenth of a second, and a wait costs their callers less than a
+//! retry. Keys of a lost host have none for seconds, and after a restart of all processes no key
+//! has one. Then every request would wait for the whole time and still be refused.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,32 +13,33 @@
 use crate::ownership::Directory;
 
 /// The longest wait: keys that move have a new owner before that.
-const LONGEST: Duration = Duration::from_millis(350);
-/// The part of the time that a request has left which it may wait.
-const PART: u32 = 3;
-/// Neighbouring keys mostly have one owner, and lose it together: so many are taken as one.
-const BLOCK: u16 = 256;
-/// How long a wait in vain speaks against the next one, if the owners stay the same.
-const MEMORY: Duration = Duration::from_secs(5);
+const MAX_WAIT: Duration = Duration::from_millis(350);
+/// A request may wait for the time until its deadline divided by this.
+const WAIT_DIVISOR: u32 = 3;
+/// The number of adjacent keys for which a timeout counts: they mostly have one owner and lose it
+/// together.
+const BLOCK_KEYS: u16 = 256;
+/// How long a timeout prevents further waits, if the owners stay the same.
+const TIMEOUT_TTL: Duration = Duration::from_secs(5);
 
-/// Remembers for which keys requests waited in vain.
+/// Decides how long requests wait for an owner, from the keys for which earlier waits timed out.
 #[derive(Clone, Debug, Default)]
 pub struct OwnerWait {
-    vain: BTreeMap<Block, Vain>,
+    timeouts: BTreeMap<Block, WaitTimeout>,
 }
 
-/// Is some keys of a service; all of them while none has an owner.
+/// A block of adjacent keys of a service; all its keys while none has an owner.
 type Block = (ServiceName, Option<u16>);
 
 #[derive(Clone, Copy, Debug)]
-struct Vain {
+struct WaitTimeout {
     owners: u64,
     at: Moment,
 }
 
 impl OwnerWait {
-    /// Returns how long a request waits that has `left` until its deadline: nothing if one before it has
-    /// waited in vain, and the owners have not changed since.
+    /// Returns how long a request with `left` until its deadline may wait: zero if an earlier wait
+    /// timed out and the owners have not changed since.
     pub fn max_wait(
         &self,
         now: Moment,
@@ -48,17 +48,17 @@
         key: u16,
         left: Duration,
     ) -> Duration {
-        let vain = self.vain.get(&block(directory, service, key));
-        let hopeless = vain.is_some_and(|vain| {
-            vain.owners == directory.owners_version && now.since(vain.at) < MEMORY
+        let timeout = self.timeouts.get(&block(directory, service, key));
+        let timed_out = timeout.is_some_and(|timeout| {
+            timeout.owners == directory.owners_version && now.since(timeout.at) < TIMEOUT_TTL
         });
-        match hopeless {
+        match timed_out {
             true => Duration::ZERO,
-            false => LONGEST.min(left / PART),
+            false => MAX_WAIT.min(left / WAIT_DIVISOR),
         }
     }
 
-    /// Learns that a request has waited for `waited`, and its key has no owner still.
+    /// Records that a request has waited for `waited` and its key still has no owner.
     pub fn record_timeout(
         &mut self,
         now: Moment,
@@ -67,21 +67,23 @@
         key: u16,
         waited: Duration,
     ) {
-        // A request with little time gives up before a usual move is done.
-        if waited < LONGEST {
+        // A request with little time left gives up before a typical move is complete.
+        if waited < MAX_WAIT {
             return;
         }
-        self.vain.retain(|_, vain| now.since(vain.at) < MEMORY);
-        let vain = Vain {
+        self.timeouts
+            .retain(|_, timeout| now.since(timeout.at) < TIMEOUT_TTL);
+        let timeout = WaitTimeout {
             owners: directory.owners_version,
             at: now,
         };
-        self.vain.insert(block(directory, service, key), vain);
+        self.timeouts
+            .insert(block(directory, service, key), timeout);
     }
 }
 
 fn block(directory: &Directory, service: &ServiceName, key: u16) -> Block {
     let owned = directory.owners.get(service);
-    let some = owned.is_some_and(|rows| !rows.is_empty());
-    (service.clone(), some.then_some(key / BLOCK))
+    let any_owned = owned.is_some_and(|rows| !rows.is_empty());
+    (service.clone(), any_owned.then_some(key / BLOCK_KEYS))
 }
--- a/crates/mesh/src/traffic/refusal_reason.rs
+++ b/crates/mesh/src/traffic/refusal_reason.rs
@@ -1,36 +1,36 @@
-//! Why a request did not run.
+//! Why a request was refused.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// Says why a request was surely not run.
+/// The reason why a request was refused and certainly did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
-    /// No backend server of the service is known beside the node.
+    /// The node knows no backend server of the service on its host.
     NoServer,
-    /// The backend server is cold, and the node does not know the operators' document that says what
-    /// it bears.
+    /// The backend server is cold, and the node does not know the operators' document with the
+    /// rate that a cold server can handle.
     NoDocument,
-    /// The backend server leaves, or its zone is being emptied.
+    /// The backend server is shutting down, or its zone is being evacuated.
     Draining,
     /// The backend server does not hold the key now.
     NotOwner,
-    /// It would wait too long for its turn.
+    /// It would wait too long for a slot.
     Full,
-    /// Its time was over before its turn came.
+    /// It could not get a slot in time for its deadline.
     Expired,
     /// The backend server refused it.
     ServerRefused,
     /// No connection to the backend server could be made.
     Unreachable,
-    /// The node that was asked could not be reached, or is shutting down.
+    /// The node that the request was sent to is unreachable or shutting down.
     NodeAway,
 }
 
-/// Says that a text names no reason.
+/// The error for a text that is not the name of a reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
-#[error("not a reason for a refusal: {0:?}")]
+#[error("unknown refusal reason: {0:?}")]
 pub struct ParseRefusalReasonError(String);
 
 impl RefusalReason {
@@ -46,7 +46,7 @@
         (Self::NodeAway, "node_away"),
     ];
 
-    /// Returns the reason's name in logs, metrics and between nodes.
+    /// Returns the reason's name in logs, in metrics and in messages between nodes.
     pub fn name(self) -> &'static str {
         let found = Self::ALL.iter().find(|(reason, _)| *reason == self);
         found.map_or("unknown", |(_, name)| name)
--- a/crates/mesh/src/traffic/retry/mod.rs
+++ b/crates/mesh/src/traffic/retry/mod.rs
@@ -1,7 +1,7 @@
-//! Second attempts.
+//! Retries.
 //!
-//! Load pattern: a service whose servers fail or refuse part of their requests, or all of them at
-//! once; each second attempt is load on the ones that are left.
+//! They are designed for a service whose servers fail or refuse some of their requests, or all of
+//! them at once; each retry adds load to the remaining servers.
 
 mod retry_budget;
 
--- a/crates/mesh/src/traffic/retry/retry_budget.rs
+++ b/crates/mesh/src/traffic/retry/retry_budget.rs
@@ -1,70 +1,74 @@
-//! The budget of second attempts.
+//! The budget of retries.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use quetzalrack_core::time::Moment;
 
-/// The part of the allowed ratio that is used. A second attempt makes the calls of its run a second
-/// time, and these count at the called service; its requests include the first calls, so with half
-/// of the ratio for each both together stay within it.
-const USED: f64 = 0.45;
-/// The part of the common slack that all nodes together take, for the first failures at each. The
-/// calls of second runs count as well, of three services that call a fourth: with a fifth for each of
-/// the four, all together stay within it.
-const SLACK_USED: f64 = 0.2;
+/// The share of the allowed ratio that is used. A retried request repeats its calls to other
+/// services, and these count as retries at the called service. The requests of that service include
+/// the first calls, so with just under half of the ratio for each, both kinds stay within it.
+const RATIO_SHARE: f64 = 0.45;
+/// The share of the common slack that all nodes together use, for the first failures at each node.
+/// Three services may call a fourth, where the calls repeated by their retries count as well: with
+/// a fifth for each of the four, they stay within the slack.
+const SLACK_SHARE: f64 = 0.2;
 
-/// Bounds the second attempts at a service by a share of this node's own requests that reached a server
-/// of it.
+/// Bounds the retries at a service by a share of this node's own requests that reached one of the
+/// service's servers.
 ///
-/// Every node keeps below the share, so all together do, without asking one another. Requests that are
-/// refused before a server has seen them pay for nothing: under overload they are half of all, second
-/// runs were then 17 in 100 of first ones in place of 9, and so were the calls that these make again.
+/// Every node stays below the share, so all together do without coordination. Requests that are
+/// refused before they reach a server add nothing to the budget: under overload they are half of all
+/// requests, and when they counted, retries were 17 per 100 first attempts instead of 9, and so were
+/// the calls repeated by them.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     ratio: f64,
     window: Duration,
     slack: f64,
     requests: VecDeque<Moment>,
-    spent: VecDeque<Moment>,
+    retries: VecDeque<Moment>,
 }
 
 impl RetryBudget {
-    /// Makes a budget from what all nodes together may spend.
+    /// Creates a budget from the ratio and the slack that all nodes together may use.
     pub fn new(ratio: f64, window: Duration, slack: f64) -> Self {
         Self {
-            ratio: ratio * USED,
+            ratio: ratio * RATIO_SHARE,
             window,
-            slack: slack * SLACK_USED,
+            slack: slack * SLACK_SHARE,
             requests: VecDeque::new(),
-            spent: VecDeque::new(),
+            retries: VecDeque::new(),
         }
     }
 
-    /// Counts a request that has reached a server for the first time.
+    /// Adds a request that has reached a server for the first time.
     pub fn deposit(&mut self, now: Moment) {
         self.requests.push_back(now);
-        self.age(now);
+        self.drop_old(now);
     }
 
-    /// Takes one second attempt, if the budget has one for one of `nodes` nodes. Each keeps to its
-    /// part of the slack: a part that didn't shrink with their number would in a large fleet add up
-    /// to more than all may spend.
+    /// Withdraws one retry, with the slack divided among `nodes` nodes; returns false if none is
+    /// left. Parts that didn't shrink with the number of nodes would together exceed the slack in a
+    /// large fleet.
     pub fn withdraw(&mut self, now: Moment, nodes: usize) -> bool {
-        self.age(now);
+        self.drop_old(now);
         let slack = self.slack / nodes.max(1) as f64;
         let allowed = self.requests.len() as f64 * self.ratio + slack;
-        if self.spent.len() as f64 + 1.0 > allowed {
+        if self.retries.len() as f64 + 1.0 > allowed {
             return false;
         }
-        self.spent.push_back(now);
+        self.retries.push_back(now);
         true
     }
 
-    fn age(&mut self, now: Moment) {
-        for kept in [&mut self.requests, &mut self.spent] {
-            while kept.front().is_some_and(|at| now.since(*at) >= self.window) {
-                kept.pop_front();
+    fn drop_old(&mut self, now: Moment) {
+        for times in [&mut self.requests, &mut self.retries] {
+            while times
+                .front()
+                .is_some_and(|at| now.since(*at) >= self.window)
+            {
+                times.pop_front();
             }
         }
     }
