--- a/crates/mesh/src/traffic/admission/service_times.rs
+++ b/crates/mesh/src/traffic/admission/service_times.rs
@@ -72,7 +72,7 @@
             .map_or(DEFAULT_TIME, |means| Duration::from_secs_f64(means.recent))
     }
 
-    /// Returns the mean service time of all routes without short slowdowns.
+    /// Returns the mean service time of all routes, without slowdowns of tenths of a second.
     pub(super) fn best_mean(&self) -> Duration {
         self.overall.map_or(DEFAULT_TIME, |means| {
             Duration::from_secs_f64(means.recent.min(means.steady))
