--- a/crates/mesh/src/ownership/message/leader_reply.rs
+++ b/crates/mesh/src/ownership/message/leader_reply.rs
@@ -44,6 +44,6 @@
     pub update: TableUpdate,
     /// The offset up to which the leader has read the operators' intent.
     pub intent_offset: u64,
-    /// How many milliseconds ago the leader knew every change of the intent acknowledged until then.
+    /// How many milliseconds ago the leader last knew every acknowledged change of the intent.
     pub intent_age: u32,
 }
--- a/crates/mesh/src/ownership/message/node_heartbeat.rs
+++ b/crates/mesh/src/ownership/message/node_heartbeat.rs
@@ -12,7 +12,7 @@
 use crate::model::KeyRange;
 use crate::model::ReleasedRange;
 
-/// The unit of [`KeyLoad::milli_slots`], in parts of a slot.
+/// How many of [`KeyLoad::milli_slots`] make a slot.
 const PARTS_PER_SLOT: f64 = 1_000.0;
 
 /// The load that requests for a range of keys put on the backend server.
--- a/crates/mesh/src/ownership/message/peer_message.rs
+++ b/crates/mesh/src/ownership/message/peer_message.rs
@@ -20,7 +20,8 @@
     Heartbeat(Box<NodeHeartbeat>),
     /// The leader's reply to a heartbeat.
     Reply(Box<LeaderReply>),
-    /// The question of a node without contact to its leader whether a peer has contact.
+    /// Asks a voter whether the leader of an epoch responds to it. The sender gets no replies from that
+    /// leader.
     LeaderQuery {
         /// The sender.
         from: NodeIncarnation,
--- a/crates/mesh/src/ownership/message/table_update.rs
+++ b/crates/mesh/src/ownership/message/table_update.rs
@@ -23,7 +23,7 @@
     /// The nodes that were removed.
     pub removed: Vec<NodeName>,
     /// The loads of all members in the order of their names, for a node whose member table is up to date
-    /// after this update. With the names the list would be ten times as long.
+    /// after this update. Names would make up nine tenths of the list.
     pub loads: Vec<LoadSummary>,
     /// The changes to the table of owners, if any.
     pub owners: Option<OwnersUpdate>,
--- a/crates/mesh/src/ownership/node_machine/server_events.rs
+++ b/crates/mesh/src/ownership/node_machine/server_events.rs
@@ -12,8 +12,8 @@
 use crate::ownership::ServerInfo;
 use crate::ownership::server_grants::Lease;
 
-/// How many heartbeats a backend server may miss before nothing is granted to it.
-const MAX_MISSED_HEARTBEATS: u32 = 3;
+/// The number of missed heartbeats from which on nothing is granted to a backend server.
+const MISSED_HEARTBEATS: u32 = 3;
 
 impl NodeMachine {
     pub(super) fn handle_server_event(
@@ -73,7 +73,7 @@
         configured.unwrap_or(self.profile.granting)
     }
 
-    /// Makes the calls that are due at the backend server, if it is granted keys by call.
+    /// Makes the calls to the backend server that are due.
     pub(super) fn call_server(&mut self, now: Moment, actions: &mut Vec<Action>) {
         let granting = self.granting();
         let lease = usable_lease(now, &self.lease, &self.intent);
@@ -126,7 +126,7 @@
             draining: newest.draining || self.intent.evacuated.contains(&self.profile.zone),
             cold: now < self.server.cold_until(),
             holding_known: self.server.is_holding_known(self.granting()),
-            silent: now.since(heartbeat_at) >= self.profile.heartbeat * MAX_MISSED_HEARTBEATS,
+            silent: now.since(heartbeat_at) >= self.profile.heartbeat * MISSED_HEARTBEATS,
         })
     }
 }
