--- a/crates/mesh/src/ownership/message/server_info.rs
+++ b/crates/mesh/src/ownership/message/server_info.rs
@@ -17,7 +17,8 @@
     pub draining: bool,
     /// Whether it is cold.
     pub cold: bool,
-    /// Whether its node has received enough of its heartbeats to know what it holds.
+    /// Whether its node has received enough of its heartbeats to know what it holds: two where keys are
+    /// granted by heartbeat, otherwise one.
     pub holding_known: bool,
     /// Whether its heartbeats have stopped. Nothing can then be granted or renewed, though requests may
     /// still reach it.
