--- a/crates/mesh/src/ownership/leader/authority.rs
+++ b/crates/mesh/src/ownership/leader/authority.rs
@@ -73,14 +73,14 @@
     /// Tells whether a majority has confirmed the leadership recently.
     pub(super) fn has_majority(&self, now: Moment, times: &LeaseTimes) -> bool {
         self.majority_confirmed
-            .is_some_and(|stamp| now.since(stamp) < times.leader_timeout)
+            .is_some_and(|confirmed_at| now.since(confirmed_at) < times.leader_timeout)
     }
 
     /// Tells whether a leader that acts on the store alone may record that it needs a majority from
     /// now on: a successor that waits one lease after the majority's last confirmation has then
     /// waited for the end of all leases.
     pub(super) fn can_require_majority(&self, now: Moment, times: &LeaseTimes) -> bool {
-        let covered = |stamp: Moment| stamp + times.lease >= self.store_expiry;
+        let covered = |confirmed_at: Moment| confirmed_at + times.lease >= self.store_expiry;
         self.has_majority(now, times) && self.majority_confirmed.is_some_and(covered)
     }
 
@@ -94,17 +94,17 @@
     }
 
     /// Records the newest confirmation time that a majority of the voters has reached.
-    pub(super) fn confirm_by_majority(&mut self, stamp: Option<Moment>) {
-        self.majority_confirmed = stamp;
+    pub(super) fn confirm_by_majority(&mut self, confirmed_at: Option<Moment>) {
+        self.majority_confirmed = confirmed_at;
     }
 
     /// Returns the newest moment at which the leadership is known to have been valid.
     pub(super) fn confirmed_at(&self, times: &LeaseTimes) -> Moment {
         let majority = self
             .majority_confirmed
-            .filter(|stamp| *stamp < self.store_grace_end(times));
-        majority.map_or(self.store_confirmed, |stamp| {
-            stamp.max(self.store_confirmed)
+            .filter(|confirmed_at| *confirmed_at < self.store_grace_end(times));
+        majority.map_or(self.store_confirmed, |confirmed_at| {
+            confirmed_at.max(self.store_confirmed)
         })
     }
 
@@ -112,7 +112,9 @@
     pub(super) fn remaining(&self, now: Moment, times: &LeaseTimes) -> Duration {
         let relies = self.relies_on_store(now, times);
         let by_store = relies.then(|| self.store_confirmed + times.lease);
-        let by_majority = self.majority_confirmed.map(|stamp| stamp + times.lease);
+        let by_majority = self
+            .majority_confirmed
+            .map(|confirmed_at| confirmed_at + times.lease);
         let by_majority = by_majority.map(|end| end.min(self.store_grace_end(times)));
         let end = by_majority.max(by_store).unwrap_or_default();
         end.since(now).min(times.lease)
--- a/crates/mesh/src/ownership/leader/leader_machine.rs
+++ b/crates/mesh/src/ownership/leader/leader_machine.rs
@@ -249,8 +249,10 @@
         if let Some(takeover) = &mut self.takeover {
             takeover.update_majority(now, &self.peers, &self.times);
         }
-        let stamp = self.record_sync.majority_stamp(&self.record, &self.peers);
-        self.authority.confirm_by_majority(stamp);
+        let confirmed_at = self
+            .record_sync
+            .majority_confirmed_at(&self.record, &self.peers);
+        self.authority.confirm_by_majority(confirmed_at);
         let store_suffices = self.record.store_suffices && self.record_sync.allows_store_alone();
         self.authority
             .set_store_suffices(now, store_suffices, &self.times);
--- a/crates/mesh/src/ownership/leader/owners_log.rs
+++ b/crates/mesh/src/ownership/leader/owners_log.rs
@@ -52,7 +52,7 @@
         let missed = self
             .changes
             .iter()
-            .filter(|(version_made, _)| *version_made > version);
+            .filter(|(change_version, _)| *change_version > version);
         let missed: Vec<OwnedRange> = missed.flat_map(|(_, change)| change.clone()).collect();
         let full = version == 0 || version > self.version || !known;
         let full = full || missed.len() >= self.ranges.len();
--- a/crates/mesh/src/ownership/leader/range_updates.rs
+++ b/crates/mesh/src/ownership/leader/range_updates.rs
@@ -130,11 +130,11 @@
     let mut reported = heartbeat.holding.iter().chain(&heartbeat.earlier_grants);
     let held = reported.any(|held| held.keys.common(&entry.keys).is_some());
     // A call to the earlier incarnation may have reached the current one.
-    let no_leftover =
+    let nothing_inherited =
         heartbeat.granting == Granting::ByHeartbeat || (heartbeat.holding_complete && !held);
     match &entry.state {
         // A host runs one incarnation of its server at a time, so the earlier one has ended.
-        _ if restarted && no_leftover => Some(RangeState::free()),
+        _ if restarted && nothing_inherited => Some(RangeState::free()),
         RangeState::Held(lease) if restarted => Some(RangeState::releasing(now, lease)),
         // A restarted node that has not received its server's heartbeats yet reports no ranges,
         // while the server goes on holding what the node's earlier incarnation granted.
--- a/crates/mesh/src/ownership/leader/record_sync.rs
+++ b/crates/mesh/src/ownership/leader/record_sync.rs
@@ -86,11 +86,15 @@
     /// Returns the newest confirmation time that a majority of the voters has reached. While a
     /// change of the voters is in flight, a later leader may read either set, so both must have a
     /// majority.
-    pub(super) fn majority_stamp(&self, record: &LeaderRecord, peers: &Peers) -> Option<Moment> {
-        let stamp = majority_stamp(record, peers)?;
+    pub(super) fn majority_confirmed_at(
+        &self,
+        record: &LeaderRecord,
+        peers: &Peers,
+    ) -> Option<Moment> {
+        let confirmed_at = majority_confirmed_at(record, peers)?;
         match &self.pending {
-            Some(pending) => Some(stamp.min(majority_stamp(pending, peers)?)),
-            None => Some(stamp),
+            Some(pending) => Some(confirmed_at.min(majority_confirmed_at(pending, peers)?)),
+            None => Some(confirmed_at),
         }
     }
 
@@ -280,14 +284,14 @@
 }
 
 /// Returns the newest confirmation time that a majority of a record's voters has reached.
-fn majority_stamp(record: &LeaderRecord, peers: &Peers) -> Option<Moment> {
+fn majority_confirmed_at(record: &LeaderRecord, peers: &Peers) -> Option<Moment> {
     let confirmed_at = |node| peers.get(node).and_then(|peer| peer.confirmed_at);
-    let mut stamps: Vec<Moment> = record
+    let mut times: Vec<Moment> = record
         .voters
         .iter()
         .filter_map(|voter| confirmed_at(&voter.node))
         .collect();
-    stamps.sort_unstable();
-    let index = stamps.len().checked_sub(record.majority())?;
-    stamps.get(index).copied()
+    times.sort_unstable();
+    let index = times.len().checked_sub(record.majority())?;
+    times.get(index).copied()
 }
