--- a/crates/mesh/src/ownership/election/leader_search.rs
+++ b/crates/mesh/src/ownership/election/leader_search.rs
@@ -31,7 +31,7 @@
 /// What the search asks its node to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(in crate::ownership) enum SearchAction {
-    /// Nothing for now.
+    /// Do nothing for now.
     Wait,
     /// Read the newest record.
     Read,
--- a/crates/mesh/src/ownership/leader/peer.rs
+++ b/crates/mesh/src/ownership/leader/peer.rs
@@ -187,7 +187,7 @@
         self.published_responsive && now.since(last) >= SILENCE_TIMEOUT
     }
 
-    /// Returns when the node was last known to be running.
+    /// Returns when the last heartbeat arrived, or when the node was added if none has.
     pub(super) fn silent_since(&self) -> Moment {
         self.last_heartbeat.unwrap_or(self.added_at)
     }
--- a/crates/mesh/src/ownership/leader/publishing.rs
+++ b/crates/mesh/src/ownership/leader/publishing.rs
@@ -55,8 +55,8 @@
         TableUpdate { owners, ..members }
     }
 
-    /// Returns the members that a node lacks which has none of this leader's versions, given the
-    /// digests of those it knows.
+    /// Returns the members that are missing at a node that has none of this leader's versions,
+    /// given the digests of those it knows.
     fn missing_members(&self, known: &[MemberDigest]) -> TableUpdate {
         let known: BTreeSet<MemberDigest> = known.iter().copied().collect();
         let lacks = |peer: &&Peer| !known.contains(&peer.digest());
--- a/crates/mesh/src/ownership/leader/takeover.rs
+++ b/crates/mesh/src/ownership/leader/takeover.rs
@@ -77,7 +77,7 @@
     ) {
         // The earlier leader grants the keys of a lapsed lease again only after a confirmation that
         // is newer than the lapse. Voters that followed this leader before the lease ended never
-        // gave one.
+        // sent one.
         let in_time =
             |end: Moment| self.majority_since.is_some_and(|since| since < end) && now < end;
         let accounted = peers
--- a/crates/mesh/src/ownership/lease_times.rs
+++ b/crates/mesh/src/ownership/lease_times.rs
@@ -43,7 +43,7 @@
 impl Default for LeaseTimes {
     fn default() -> Self {
         Self {
-            // Only a default: the platform's settings give the interval, and use this value.
+            // A default that the platform's settings replace; they use the same value.
             server_heartbeat: Duration::from_millis(870),
             // Four heartbeats of a backend server, which arrive about every 0.9 s.
             lease: Duration::from_millis(3_500),
