--- a/crates/core/src/ownership/message/acknowledgement.rs
+++ b/crates/core/src/ownership/message/acknowledgement.rs
@@ -7,15 +7,15 @@
 use crate::ids::NodeName;
 use crate::ownership::Ballot;
 
-/// Says that a voter had adopted no higher ballot when this round's message reached it.
+/// States that a voter had adopted no higher ballot when it received the message of this round.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Acknowledgement {
     /// The voter.
     pub node: NodeName,
-    /// Its life.
+    /// The voter's incarnation.
     pub incarnation: Incarnation,
-    /// The adopted ballot.
+    /// The ballot that the voter has adopted.
     pub ballot: Ballot,
     /// The round of the acknowledged message.
     pub round: u64,
--- a/crates/core/src/ownership/message/answer.rs
+++ b/crates/core/src/ownership/message/answer.rs
@@ -10,25 +10,25 @@
 use crate::ids::Incarnation;
 use crate::ownership::Ballot;
 
-/// Answers one heartbeat of one life: every lease listed there is renewed from the moment the
-/// heartbeat was sent, except those named as dropped.
+/// Answers one heartbeat of one incarnation. Every lease that the heartbeat lists is renewed,
+/// counted from the moment the heartbeat was sent, except the unrecognised ones.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Answer {
     /// The controller's ballot.
     pub ballot: Ballot,
-    /// The life that is answered.
+    /// The node's incarnation.
     pub incarnation: Incarnation,
-    /// The heartbeat that is answered.
+    /// The number of the answered heartbeat.
     pub number: u64,
-    /// Numbers the controller's messages, for the acknowledgement.
+    /// The controller's current round, which the node acknowledges if it is a voter.
     pub round: u64,
-    /// Grants that the controller does not recognise.
+    /// Reported grants that the controller does not recognise; the node drops them.
     pub unrecognised: Vec<Fence>,
-    /// Grants not yet confirmed.
+    /// Grants that the node has not confirmed yet.
     pub grants: Vec<Grant>,
-    /// Grants to be handed over.
+    /// Grants that the node must hand over.
     pub drains: Vec<Drain>,
-    /// What the node may not know yet; none in most answers, which keeps them short.
+    /// Newer state for the node; absent from most answers, which keeps them short.
     pub updates: Option<Box<Updates>>,
 }
--- a/crates/core/src/ownership/message/controller_announcement.rs
+++ b/crates/core/src/ownership/message/controller_announcement.rs
@@ -1,4 +1,4 @@
-//! A controller's assertion.
+//! The announcement of a controller.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,16 +6,16 @@
 use crate::ownership::Ballot;
 use crate::ownership::record::TermState;
 
-/// Asserts a controller's ballot towards one node, which adopts it unless it knows a higher one.
+/// Announces a controller's ballot to one node, which adopts it unless it has adopted a higher one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ControllerAnnouncement {
     /// The controller's ballot.
     pub ballot: Ballot,
-    /// Numbers the controller's messages, for the acknowledgement.
+    /// The controller's current round, which the node acknowledges.
     pub round: u64,
-    /// Asks for a heartbeat at once, because there is something to answer it with.
+    /// Whether the node should send its heartbeat at once, because its answer has something new.
     pub request_heartbeat: bool,
-    /// The term, for a node that may not know it.
+    /// The term, if the node may not know it.
     pub term: Option<TermState>,
 }
--- a/crates/core/src/ownership/message/controller_query.rs
+++ b/crates/core/src/ownership/message/controller_query.rs
@@ -1,4 +1,4 @@
-//! The question for the controller.
+//! The query for the current controller.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,8 +10,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ControllerQuery {
-    /// Who asks.
+    /// The asking node.
     pub node: NodeName,
-    /// Its life.
+    /// The asking node's incarnation.
     pub incarnation: Incarnation,
 }
--- a/crates/core/src/ownership/message/controller_status.rs
+++ b/crates/core/src/ownership/message/controller_status.rs
@@ -1,4 +1,4 @@
-//! The answer to an inquiry.
+//! The reply to a controller query.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,12 +6,12 @@
 use crate::ids::Rank;
 use crate::ownership::record::TermState;
 
-/// Says which controller the sender follows.
+/// Tells which controller the sender follows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ControllerStatus {
     /// The controller's rank.
     pub rank: Rank,
-    /// Its term.
+    /// The controller's term.
     pub term: TermState,
 }
--- a/crates/core/src/ownership/message/drain.rs
+++ b/crates/core/src/ownership/message/drain.rs
@@ -6,12 +6,12 @@
 use crate::cluster::Member;
 use crate::ids::Fence;
 
-/// Orders the holder to finish a slice and to hand its memory to the successor.
+/// Orders the holder to finish a slice's requests and hand its idempotency state to the successor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Drain {
-    /// The grant.
+    /// The fence of the grant.
     pub fence: Fence,
-    /// Who gets the slice next.
+    /// The node that gets the slice next, if one is chosen.
     pub successor: Option<Member>,
 }
--- a/crates/core/src/ownership/message/echo.rs
+++ b/crates/core/src/ownership/message/echo.rs
@@ -1,16 +1,16 @@
-//! The answer to a probe.
+//! The reply to a probe.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::ids::NodeName;
 
-/// Tells a node that its probe came through; that the echo arrives tells it the way back.
+/// Replies to a probe; its arrival shows that datagrams get through in both directions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Echo {
-    /// Who answers.
+    /// The replying node.
     pub node: NodeName,
-    /// What the probe said.
+    /// The probe's `sent_at`.
     pub probe_sent: u64,
 }
--- a/crates/core/src/ownership/message/grant.rs
+++ b/crates/core/src/ownership/message/grant.rs
@@ -1,4 +1,4 @@
-//! A grant.
+//! The grant of a slice.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,14 +6,14 @@
 use crate::ids::Fence;
 use crate::ids::SliceId;
 
-/// Grants one slice; its fence is its identity.
+/// Grants one slice; the fence identifies the grant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Grant {
     /// The slice.
     pub slice: SliceId,
-    /// The fence.
+    /// The grant's fence.
     pub fence: Fence,
-    /// The grant released in favour of this one.
+    /// The fence of the grant that was released in favour of this one.
     pub previous: Option<Fence>,
 }
--- a/crates/core/src/ownership/message/heartbeat.rs
+++ b/crates/core/src/ownership/message/heartbeat.rs
@@ -12,32 +12,33 @@
 use crate::ids::NodeName;
 use crate::ownership::Ballot;
 
-/// Is a node's numbered heartbeat; only an answer to it can grant or renew a lease.
+/// Reports a node's leases to the controller; only an answer to a heartbeat grants or renews a
+/// lease.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The node.
     pub node: NodeName,
-    /// Its life.
+    /// The node's incarnation.
     pub incarnation: Incarnation,
-    /// Counts the heartbeats of this life.
+    /// Counts the heartbeats of this incarnation.
     pub number: u64,
-    /// The ballot the node adopted.
+    /// The ballot that the node has adopted.
     pub ballot: Ballot,
-    /// The round the node acknowledges as a voter; none while it abstains.
+    /// The round that the node acknowledges as a voter; none while it abstains.
     pub acked: Option<u64>,
-    /// The last round it received, acknowledged or not; it dates the report.
+    /// The last round that the node received, acknowledged or not; it dates `leases`.
     pub round: u64,
-    /// The grants confirmed by the backend server and still held.
+    /// Grants that the backend server confirmed and that are still held.
     pub held: Vec<Fence>,
-    /// The grants given back since the last answered heartbeat.
+    /// Grants given back since the last answered heartbeat.
     pub released: Vec<Fence>,
-    /// Everything held, for a controller that has not answered this node yet.
+    /// Every lease held, for a controller that has not answered this node yet.
     pub leases: Option<Vec<LeaseReport>>,
-    /// Who the node is, for a controller that may not know it.
+    /// The node's profile, for a controller that may not know it.
     pub profile: Option<Profile>,
-    /// The load, in some heartbeats only.
+    /// The node's load; sent less often than heartbeats.
     pub load: Option<LoadReport>,
-    /// The routing table that the node has.
+    /// The version of the node's routing table.
     pub routing: RoutingVersion,
 }
--- a/crates/core/src/ownership/message/key_rate.rs
+++ b/crates/core/src/ownership/message/key_rate.rs
@@ -1,11 +1,11 @@
-//! The rate of one key.
+//! The request rate of one key.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::ids::KeyHash;
 
-/// Says how often a key of the reporting node's service was asked for.
+/// Gives the request rate of one key of the reporting node's service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct KeyRate {
--- a/crates/core/src/ownership/message/lease_report.rs
+++ b/crates/core/src/ownership/message/lease_report.rs
@@ -1,4 +1,4 @@
-//! One reported lease.
+//! The report of one lease.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -13,10 +13,10 @@
 pub struct LeaseReport {
     /// The slice.
     pub slice: SliceId,
-    /// The grant.
+    /// The grant's fence.
     pub fence: Fence,
-    /// What is left of it when the report is sent, rounded down.
+    /// The time left on the lease when the report is sent, rounded down.
     pub remaining: Milliseconds,
-    /// Whether the backend server has confirmed it.
+    /// Whether the backend server has confirmed the grant.
     pub confirmed: bool,
 }
--- a/crates/core/src/ownership/message/load_report.rs
+++ b/crates/core/src/ownership/message/load_report.rs
@@ -7,7 +7,7 @@
 use crate::cluster::ServerState;
 use crate::ids::SlotCount;
 
-/// Sums up what a node's traffic threads counted.
+/// Summarises the counts of a node's traffic threads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LoadReport {
@@ -17,10 +17,10 @@
     pub in_flight: SlotCount,
     /// The recent median latency in microseconds.
     pub latency_us: u32,
-    /// The backend server's condition as its neighbour judges it.
+    /// The backend server's state, as judged by this node.
     pub state: ServerState,
-    /// Requests per second of each held grant, in the order of the heartbeat's list.
+    /// Requests per second of each held grant, in the order of `Heartbeat::held`.
     pub rates: Vec<u32>,
-    /// The hottest keys.
+    /// The keys with the highest request rates.
     pub keys: Vec<KeyRate>,
 }
--- a/crates/core/src/ownership/message/mod.rs
+++ b/crates/core/src/ownership/message/mod.rs
@@ -45,24 +45,24 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// A controller asserts its ballot.
+    /// A controller announces its ballot to a node.
     ControllerAnnouncement(Box<ControllerAnnouncement>),
-    /// A node tells the controller that it lives and what it holds.
+    /// A node reports to the controller that it is alive and which leases it holds.
     Heartbeat(Box<Heartbeat>),
     /// The controller answers one heartbeat.
     Answer(Box<Answer>),
-    /// A voter acknowledges a controller's message.
+    /// A voter acknowledges a round of the controller.
     Acknowledgement(Acknowledgement),
-    /// A node asks another for the controller.
+    /// A node asks another node which controller it follows.
     ControllerQuery(ControllerQuery),
-    /// A node tells which controller it adopted.
+    /// A node replies with the controller that it follows.
     ControllerStatus(Box<ControllerStatus>),
     /// The controller pushes a change of the routing table between two heartbeats.
     Routing(Box<RoutingDelta>),
-    /// A controller leaves; the next deputy acts without waiting.
+    /// A controller resigns, so that the next deputy takes over without waiting.
     Resign(Ballot),
-    /// A node that would take an office asks a voter for an echo.
+    /// A node that is about to become controller or claim a term asks a voter for an echo.
     Probe(Probe),
-    /// A voter answers a probe.
+    /// A voter replies to a probe.
     Echo(Echo),
 }
--- a/crates/core/src/ownership/message/probe.rs
+++ b/crates/core/src/ownership/message/probe.rs
@@ -1,4 +1,4 @@
-//! The question whether two nodes reach each other.
+//! The check whether two nodes reach each other.
 
 use std::net::SocketAddr;
 
@@ -9,10 +9,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Probe {
-    /// Where the asking node takes datagrams. The echo goes there and not to where the probe came
-    /// from, since it must show that the address works which others are told.
+    /// The asking node's heartbeat address. The echo goes there instead of to the probe's source
+    /// address, because it must show that the address given to other nodes works.
     pub reply_to: SocketAddr,
-    /// The asking node's own clock when it asked, in nanoseconds. The echo brings it back, so that
-    /// a late echo shows its age; nobody else reads it.
+    /// When the probe was sent, by the asking node's own clock in nanoseconds. The echo returns it,
+    /// so that the asking node can tell the age of a late echo; no other node reads it.
     pub sent_at: u64,
 }
--- a/crates/core/src/ownership/message/profile.rs
+++ b/crates/core/src/ownership/message/profile.rs
@@ -1,4 +1,4 @@
-//! What a node says of itself.
+//! The description of a node.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,15 +7,15 @@
 use crate::cluster::ServerState;
 use crate::ids::SlotCount;
 
-/// Describes a node to a controller; repeated after each change until it is answered.
+/// Describes a node to a controller; sent after each change until a heartbeat with it is answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Profile {
-    /// Who and where it is.
+    /// The node's name, incarnation, zone and addresses, with its backend server.
     pub member: Member,
-    /// How many requests its backend server works on at once.
+    /// How many requests the backend server works on at once.
     pub slots: SlotCount,
-    /// What the backend server says of its condition.
+    /// The state that the backend server reports.
     pub state: ServerState,
     /// Whether the node was asked to leave.
     pub leaving: bool,
--- a/crates/core/src/ownership/message/routing_delta.rs
+++ b/crates/core/src/ownership/message/routing_delta.rs
@@ -1,4 +1,4 @@
-//! What is newer in the routing table.
+//! A batch of changes of the routing table.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,15 +6,15 @@
 use super::RoutingChange;
 use crate::cluster::RoutingVersion;
 
-/// Brings a routing table from one version of a controller to a newer one of the same controller;
-/// from count zero it starts an empty table.
+/// Updates a routing table from one version to a newer one of the same controller. A delta based
+/// on count zero applies to an empty table.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct RoutingDelta {
-    /// The version it results in.
+    /// The version after the changes.
     pub version: RoutingVersion,
-    /// The count of the version it applies to.
+    /// The count of the version that the changes apply to.
     pub base: u64,
-    /// The changes in order.
+    /// The changes, in the order in which they apply.
     pub changes: Vec<RoutingChange>,
 }
--- a/crates/core/src/ownership/message/updates.rs
+++ b/crates/core/src/ownership/message/updates.rs
@@ -1,4 +1,4 @@
-//! What a controller tells a node besides its leases.
+//! Newer state that a controller sends with an answer.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,13 +6,13 @@
 use super::RoutingDelta;
 use crate::ids::Version;
 
-/// Carries what is newer at the controller than at the node that it answers.
+/// Carries state that is newer at the controller than at the node it answers.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Updates {
-    /// The version of the intent that the controller follows, so that nodes which do not read the
-    /// log learn that there is something newer.
+    /// The version of the intent that the controller follows. It tells nodes that do not read the
+    /// log that there is newer intent.
     pub intent_version: Option<Version>,
-    /// What is newer in the routing table.
+    /// The changes of the routing table that the node lacks.
     pub routing: Option<RoutingDelta>,
 }
