--- a/crates/core/src/ownership/action.rs
+++ b/crates/core/src/ownership/action.rs
@@ -1,4 +1,4 @@
-//! What a node's ownership state asks of the node.
+//! The outputs of the ownership state machine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,10 +12,10 @@
 use crate::ids::RecordId;
 use crate::ids::SliceId;
 
-/// Is one output of the ownership state machine.
+/// An action that the ownership state machine asks the node to perform.
 #[derive(Clone, Debug)]
 pub enum OwnershipAction {
-    /// Append a record to the control stream; answered by `AppendFinished`.
+    /// Append a record to the control stream; completed by `AppendFinished`.
     Append {
         /// The record's identity.
         id: RecordId,
@@ -29,39 +29,40 @@
         /// The message.
         message: PeerMessage,
     },
-    /// Prepare the traffic threads for a slice (adopt a handed-over memory or start an empty one),
-    /// then pass the grant to the backend server; answered by `GrantAnswered`.
+    /// Prepare the traffic threads for a slice, with the idempotency state that was handed over or
+    /// an empty one, then pass the grant to the backend server; completed by `GrantAnswered`.
     GrantServer {
         /// The slice.
         slice: SliceId,
         /// The grant's fence.
         fence: Fence,
-        /// The grant that was released in favour of this one, whose memory was handed over.
+        /// The fence of the grant that was released in favour of this one and whose idempotency
+        /// state was handed over.
         previous: Option<Fence>,
     },
-    /// Stop admitting for a slice, finish what is in flight, hand the memory to the successor;
-    /// answered by `SliceDrained`.
+    /// Stop admitting requests for a slice, finish those in flight and hand the idempotency state
+    /// to the successor; completed by `SliceDrained`.
     DrainSlice {
         /// The slice.
         slice: SliceId,
         /// The grant's fence.
         fence: Fence,
-        /// Who gets it next.
+        /// The node that gets the slice next, if one is chosen.
         successor: Option<Member>,
     },
-    /// A lease ended without a handover; the traffic threads forget the slice.
+    /// Make the traffic threads discard a slice whose lease ended without a handover.
     ForgetSlice {
         /// The slice.
         slice: SliceId,
         /// The grant's fence.
         fence: Fence,
     },
-    /// The leases this node holds.
+    /// Publish the leases that this node holds.
     PublishLeases(Arc<LeaseTable>),
-    /// A newer routing table.
+    /// Publish a newer routing table.
     PublishRouting(Arc<RoutingTable>),
-    /// Something worth explaining happened.
+    /// Record an event with its reason, for operators.
     Explain(Happening),
-    /// Everything is released; the process may go once its requests are finished.
+    /// Every slice is released; the process may exit once its requests are finished.
     ShutdownComplete,
 }
--- a/crates/core/src/ownership/ballot.rs
+++ b/crates/core/src/ownership/ballot.rs
@@ -1,4 +1,4 @@
-//! The place of a controller in the agreed order.
+//! The total order of controllers.
 
 use std::fmt;
 
@@ -10,18 +10,19 @@
 use crate::ids::Sequence;
 use crate::ids::Term;
 
-/// Orders controllers: a voter that adopted one never acknowledges a lower one again.
+/// Identifies and orders controllers. A voter that has adopted a ballot never acknowledges a lower
+/// one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Ballot {
-    /// The term that was claimed through the log.
+    /// The term that was claimed in the log.
     pub term: Term,
-    /// The place in that term's line of controller and deputies.
+    /// The position among that term's controller and deputies.
     pub rank: Rank,
 }
 
 impl Ballot {
-    /// Returns the fence of this controller's grant number `sequence`.
+    /// Returns the fence of this controller's grant with the given sequence number.
     pub fn fence(self, sequence: Sequence) -> Fence {
         Fence {
             term: self.term,
--- a/crates/core/src/ownership/config.rs
+++ b/crates/core/src/ownership/config.rs
@@ -1,26 +1,26 @@
-//! What the ownership state machine is opened with.
+//! The configuration of the ownership state machine.
 
 use std::net::SocketAddr;
 
 use super::SafetyRules;
 use crate::cluster::Member;
 
-/// Says who this node is. The backend server's name and service in `member` are ignored: they
-/// come with its announcement.
+/// Configures the ownership state machine of one node. The backend server's name and service in
+/// `member` are ignored, because they come with the server's announcement.
 #[derive(Clone, Debug)]
 pub struct OwnershipConfig {
-    /// This node, with an incarnation higher than that of any earlier life.
+    /// This node, with an incarnation higher than all its earlier ones.
     pub member: Member,
-    /// Seeds the jitter and the record ids; two nodes should differ.
+    /// The seed of jitter and record ids, which should differ between nodes.
     pub seed: u64,
-    /// Heartbeat addresses of other nodes, asked for the controller while the log is down.
+    /// Heartbeat addresses of peers, which are asked for the controller while the log is down.
     pub peers: Vec<SocketAddr>,
-    /// The safety rules; all of them outside tests.
+    /// The safety rules to follow; all of them outside tests.
     pub rules: SafetyRules,
 }
 
 impl OwnershipConfig {
-    /// Returns the configuration of a node that follows every rule and knows no peers.
+    /// Returns the configuration of a node that follows every safety rule and knows no peers.
     pub fn new(member: Member, seed: u64) -> Self {
         Self {
             member,
--- a/crates/core/src/ownership/event.rs
+++ b/crates/core/src/ownership/event.rs
@@ -1,4 +1,4 @@
-//! What can happen to a node's ownership state.
+//! The inputs of the ownership state machine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,10 +15,10 @@
 use crate::intent::InForce;
 use crate::traffic::TrafficStats;
 
-/// Is one input of the ownership state machine.
+/// An event that the node passes to the ownership state machine.
 #[derive(Clone, Debug)]
 pub enum OwnershipEvent {
-    /// Time has passed; sent at least every 50 ms.
+    /// Time has passed; due at least every 50 ms.
     Tick,
     /// Newer intent is in force.
     IntentChanged(Arc<InForce>),
@@ -26,10 +26,10 @@
     LogRead {
         /// The records.
         entries: Vec<LogEntry>,
-        /// Whether the stream ended there.
+        /// Whether the end of the stream was reached.
         at_end: bool,
     },
-    /// The wanted offset of the control stream is gone; reading goes on at this one.
+    /// The next offset of the control stream has expired; reading continues at this one.
     LogExpired(Offset),
     /// The log service did not answer a read.
     LogUnavailable,
@@ -37,19 +37,19 @@
     AppendFinished {
         /// The record's identity.
         id: RecordId,
-        /// What became of it.
+        /// The outcome of the append.
         outcome: AppendOutcome,
     },
-    /// A datagram of another node arrived, already authenticated.
+    /// An authenticated datagram of a peer arrived.
     MessageReceived {
         /// The sender's heartbeat address.
         from: SocketAddr,
         /// The message.
         message: PeerMessage,
     },
-    /// The backend server beside this node announced itself.
+    /// This node's backend server announced itself.
     ServerAnnounced(Announcement),
-    /// The backend server beside this node has been silent for too long.
+    /// This node's backend server has been silent for too long.
     ServerLost,
     /// The backend server answered a grant.
     GrantAnswered {
@@ -60,15 +60,15 @@
         /// The answer.
         outcome: GrantOutcome,
     },
-    /// The traffic threads finished a slice's last request and handed its memory over.
+    /// The traffic threads finished a slice's last request and handed over its idempotency state.
     SliceDrained {
         /// The slice.
         slice: SliceId,
         /// The grant's fence.
         fence: Fence,
     },
-    /// The traffic threads' own counts, about every 200 ms.
+    /// The traffic threads report their counts, about every 200 ms.
     TrafficMeasured(TrafficStats),
-    /// The process was asked to leave.
+    /// The process was asked to shut down.
     ShutdownRequested,
 }
--- a/crates/core/src/ownership/lease_times.rs
+++ b/crates/core/src/ownership/lease_times.rs
@@ -1,4 +1,4 @@
-//! The times of a term.
+//! The lease times of a term.
 
 use std::time::Duration;
 
@@ -8,15 +8,16 @@
 use crate::document::spec::OwnershipSpec;
 use crate::time::Milliseconds;
 
-/// Fixes the times for a whole term, so that two controllers of one term never count differently.
+/// The times that apply to a whole term, so that all controllers of one term use the same ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LeaseTimes {
-    /// How long a lease lasts from the sending of the heartbeat that its renewal answers.
+    /// How long a lease lasts, counted from the sending of the heartbeat that was answered.
     pub lease: Milliseconds,
     /// How often a node sends its heartbeat.
     pub heartbeat: Milliseconds,
-    /// What a holder gives up and a controller adds, for drift and short pauses.
+    /// The time by which a holder shortens a lease and a controller lengthens it, for clock drift
+    /// and short pauses.
     pub margin: Milliseconds,
 }
 
@@ -31,18 +32,18 @@
         self.heartbeat.as_duration()
     }
 
-    /// Returns the margin for drift and short pauses.
+    /// Returns the margin for clock drift and short pauses.
     pub fn margin(self) -> Duration {
         self.margin.as_duration()
     }
 
-    /// Returns the time after which neither an older controller nor its last holder can still
-    /// believe: one lease for the controller's authority, one for the lease it gave last.
+    /// Returns how long a new controller leaves an unreported slice ungranted. After one lease an
+    /// older controller has lost its authority; after another the last lease it granted has ended.
     pub fn unreported_wait(self) -> Milliseconds {
         Milliseconds(self.lease.0 * 2 + self.margin.0)
     }
 
-    /// Returns how long a deputy hears nothing before it acts.
+    /// Returns how long a controller must be silent before the first deputy takes over.
     pub fn detection_time(self) -> Duration {
         self.lease() * 3 / 8
     }
--- a/crates/core/src/ownership/mod.rs
+++ b/crates/core/src/ownership/mod.rs
@@ -1,6 +1,6 @@
-//! Who owns which slice: terms, voters, leases, grants and moves.
+//! Ownership of slices: terms, voters, leases, grants and moves.
 //!
-//! The argument for a single owner is in `docs/design/ownership.md`.
+//! `docs/design/ownership.md` argues why a slice never has two owners.
 
 mod action;
 mod ballot;
--- a/crates/core/src/ownership/safety_rules.rs
+++ b/crates/core/src/ownership/safety_rules.rs
@@ -1,23 +1,26 @@
-//! Switches by which tests leave one safety rule out.
+//! Switches with which tests disable single safety rules.
 
-/// Says which safety rules are followed. Only tests that show what a rule prevents leave one out.
+/// Selects the safety rules to follow. Only tests that show what a rule prevents disable one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SafetyRules {
-    /// Rule 1: a silent holder's slices wait for a majority round begun after the lapse.
+    /// Rule 1: a silent holder's slices stay ungranted until a majority acknowledges a round that
+    /// began after the lease lapsed.
     pub confirm_lapse: bool,
-    /// Rule 2: a reported lease is extended only if the majority came before its earliest end.
+    /// Rule 2: a reported lease is extended only if the majority was reached before the earliest
+    /// moment at which the lease can have ended.
     pub timely_majority: bool,
-    /// Rule 3: only acknowledgements of messages sent within the last lease make a majority.
+    /// Rule 3: only acknowledgements of messages sent within the last lease time count towards a
+    /// majority.
     pub fresh_majority: bool,
-    /// Rule 4: a lease runs from the sending of the heartbeat.
+    /// Rule 4: a lease is counted from the sending of the heartbeat.
     pub send_time: bool,
-    /// Rule 5: unreported slices wait two lease times.
+    /// Rule 5: unreported slices stay ungranted for two lease times.
     pub double_wait: bool,
-    /// Rule 6: releases name their grant, and void every unanswered heartbeat.
+    /// Rule 6: a release carries the fence of its grant and voids every unanswered heartbeat.
     pub fenced_release: bool,
-    /// Adopting a higher controller voids every unanswered heartbeat.
+    /// Adopting a higher ballot voids every unanswered heartbeat.
     pub void_heartbeats: bool,
-    /// Rule 7: only the named life of a node acts as controller or deputy.
+    /// Rule 7: only the incarnation of a node that the term names acts as controller or deputy.
     pub exact_incarnation: bool,
     /// A restarted voter abstains for two lease times.
     pub abstention: bool,
