--- a/crates/core/src/ownership/machine/appender.rs
+++ b/crates/core/src/ownership/machine/appender.rs
@@ -1,4 +1,4 @@
-//! Records on their way into the log.
+//! Appends of records to the control stream.
 
 use std::time::Duration;
 
@@ -17,25 +17,25 @@
 use crate::ownership::record::ControlRecord;
 use crate::time::Moment;
 
-/// How long an append may take before it is tried again.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How long to wait after a refusal or a lost answer.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// How long to wait for the outcome of an append before it is retried.
+const APPEND_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// The delay before a retry after a refusal or a lost answer.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Appends records until each is read back. A retry carries the same id, so a record whose answer
-/// was lost counts once.
+/// Appends records and retries each until it is read back. A retry carries the same id, so a record
+/// whose answer was lost counts once.
 #[derive(Debug, Default)]
 pub(super) struct Appender {
     pending: Vec<PendingAppend>,
 }
 
 impl Appender {
-    /// Tells whether a record of this kind is on its way.
-    pub(super) fn has(&self, kind: RecordKind) -> bool {
+    /// Tells whether a record of this kind is being appended.
+    pub(super) fn has_pending(&self, kind: RecordKind) -> bool {
         self.pending.iter().any(|pending| pending.kind == kind)
     }
 
-    /// Gives up the records of a kind, because they have lost their reason.
+    /// Stops retrying the records of a kind, because they are no longer needed.
     pub(super) fn cancel(&mut self, kind: RecordKind) {
         self.pending.retain(|pending| pending.kind != kind);
     }
@@ -51,7 +51,7 @@
     ) {
         let id = RecordId(Builder::from_random_bytes(rng.random()).into_uuid());
         let Ok(data) = serde_json::to_vec(&ControlRecord { id, body }) else {
-            log::error!(event = "control_record_unwritable"; "a control record has no JSON form");
+            log::error!(event = "control_record_unwritable"; "failed to encode a control record as JSON");
             return;
         };
         out.push(OwnershipAction::Append {
@@ -62,29 +62,29 @@
             id,
             kind,
             data,
-            next_try: now + ANSWER_TIMEOUT,
+            retry_at: now + APPEND_TIMEOUT,
         });
     }
 
-    /// Takes the outcome of an append.
-    pub(super) fn finish(&mut self, now: Moment, id: RecordId, outcome: AppendOutcome) {
+    /// Records the outcome of an append.
+    pub(super) fn record_outcome(&mut self, now: Moment, id: RecordId, outcome: AppendOutcome) {
         if let AppendOutcome::Appended(_) = outcome {
             self.pending.retain(|pending| pending.id != id);
             return;
         }
         for pending in &mut self.pending {
             if pending.id == id {
-                pending.next_try = now + RETRY_PAUSE;
+                pending.retry_at = now + RETRY_DELAY;
             }
         }
     }
 
-    /// Retries what is due and drops what has been read back.
+    /// Retries the appends that are due and drops those whose record was read back.
     pub(super) fn retry(&mut self, now: Moment, log: &ControlLog, out: &mut Outbox) {
         self.pending.retain(|pending| !log.contains(pending.id));
         for pending in &mut self.pending {
-            if pending.next_try <= now {
-                pending.next_try = now + ANSWER_TIMEOUT;
+            if pending.retry_at <= now {
+                pending.retry_at = now + APPEND_TIMEOUT;
                 out.push(OwnershipAction::Append {
                     id: pending.id,
                     data: pending.data.clone(),
--- a/crates/core/src/ownership/machine/claiming.rs
+++ b/crates/core/src/ownership/machine/claiming.rs
@@ -1,4 +1,4 @@
-//! How a node without a controller claims a term.
+//! Claims of a term by a node without a controller.
 
 use std::time::Duration;
 
@@ -14,100 +14,113 @@
 use crate::ownership::record::ControlBody;
 use crate::time::Moment;
 
-/// How long a node waits for other joins before it claims a term.
-const CLAIM_WAIT: Duration = Duration::from_millis(900);
-/// The longest addition to a wait before a claim, so that few nodes claim at once.
-const CLAIM_JITTER: Duration = Duration::from_millis(500);
-/// How many nodes should be known before a cell is founded whose document is not known yet.
-const FEWEST_FOUNDERS: usize = 3;
-/// How long a node waits for enough others before it founds a cell with those there are.
-const FOUNDING_WAIT: Duration = Duration::from_millis(3_000);
-/// How long a node that found no term in a log with a gap waits for a checkpoint of the controller.
-const GAP_WAIT: Duration = Duration::from_millis(5_000);
-/// The longest wait between two claims of one node.
-const LONGEST_PAUSE: Duration = Duration::from_millis(16_000);
+/// How long a node waits for other nodes to join before it claims a term.
+const CLAIM_DELAY: Duration = Duration::from_millis(900);
+/// The longest random addition to the delay before a claim, so that few nodes claim at once.
+const MAX_CLAIM_JITTER: Duration = Duration::from_millis(500);
+/// How many nodes should be known before the first term is claimed while the document is unknown.
+const MIN_KNOWN_NODES: usize = 3;
+/// How long a node waits for enough other nodes before it claims the first term with those it
+/// knows.
+const FIRST_CLAIM_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// How long a node waits for a checkpoint of the controller if records at the beginning of the log
+/// are missing and the rest contains no term.
+const CHECKPOINT_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// The longest delay between two claims of one node.
+const MAX_CLAIM_DELAY: Duration = Duration::from_millis(16_000);
 
 impl Ownership {
-    /// Appends a claim.
-    pub(super) fn claim(&mut self, now: Moment, claim: Claim, out: &mut Outbox) {
+    /// Appends a claim to the control stream.
+    pub(super) fn append_claim(&mut self, now: Moment, claim: Claim, out: &mut Outbox) {
         if let Some(controller) = claim.controllers.first() {
             out.explain(Happening::TermClaimed {
                 term: claim.term,
                 controller: controller.node.clone(),
             });
         }
-        self.append(now, RecordKind::Claim, ControlBody::Claim(claim), out);
+        self.append_record(now, RecordKind::Claim, ControlBody::Claim(claim), out);
     }
 
-    pub(super) fn claim_term(&mut self, now: Moment, out: &mut Outbox) {
+    /// Claims the next term if a claim is due and enough nodes are known or reachable.
+    pub(super) fn try_claim_term(&mut self, now: Moment, out: &mut Outbox) {
         if self.search.claim_at.is_none() {
-            self.search.claim_at = Some(self.next_claim(now));
+            self.search.claim_at = Some(self.next_claim_time(now));
         }
         let due = self.search.claim_at.is_some_and(|due| due <= now);
-        if !due || self.appender.has(RecordKind::Claim) {
+        if !due || self.appender.has_pending(RecordKind::Claim) {
             return;
         }
-        let known = self.newest_term();
-        match &known {
-            Some(term) if !self.hears_voters(now, term, out) => return,
-            None if !self.knows_enough(now) => return,
+        let newest = self.newest_term();
+        match &newest {
+            Some(term) if !self.reaches_majorities(now, term, out) => return,
+            None if !self.knows_enough_nodes(now) => return,
             _ => {}
         }
-        self.search.claims += 1;
-        self.search.claim_at = Some(self.next_claim(now));
+        self.search.claim_count += 1;
+        self.search.claim_at = Some(self.next_claim_time(now));
         let members = self.known_members();
         let candidates = self.claim_candidates(&members);
-        let (_, context) = self.parts(now);
-        let mut divisions = Divisions::collect(&context, known.as_deref());
+        let (_, context) = self.controller_and_context(now);
+        let mut divisions = Divisions::collect(&context, newest.as_deref());
         divisions.add_services(&context);
         let claim = build_claim(&context, candidates, members, &divisions);
-        self.claim(now, claim, out);
+        self.append_claim(now, claim, out);
     }
 
-    /// Tells whether enough nodes are known to found a cell.
+    /// Tells whether enough nodes are known to claim the first term.
     ///
-    /// The voters of the first term are those that its claim knows. If that is one node, which then
-    /// dies before the next term, no later term can ever get its vote.
-    fn knows_enough(&self, now: Moment) -> bool {
-        let waited = self.search.since.map(|since| now.since(since));
-        if waited.is_some_and(|waited| waited >= FOUNDING_WAIT) {
+    /// The voters of the first term are the nodes that its claim names. If the only one is lost
+    /// before the next term, no later term can ever get its vote.
+    fn knows_enough_nodes(&self, now: Moment) -> bool {
+        let waited = self.search.started_at.map(|since| now.since(since));
+        if waited.is_some_and(|waited| waited >= FIRST_CLAIM_TIMEOUT) {
             return true;
         }
         let servers = self.expected_servers();
         let wanted = match servers {
             Some(servers) => (servers as usize / 2 + 1).min(MAX_VOTERS),
-            None => FEWEST_FOUNDERS,
+            None => MIN_KNOWN_NODES,
         };
         self.known_members().len() >= wanted
     }
 
-    /// Chooses when to claim: after every deputy had its turn, and ever more seldom.
-    fn next_claim(&mut self, now: Moment) -> Moment {
-        let line = self
+    /// Returns when to claim next: after the takeover delays of all deputies, with exponential
+    /// backoff.
+    fn next_claim_time(&mut self, now: Moment) -> Moment {
+        let controllers = self
             .voter
             .term()
             .map_or(0, |term| term.claim.controllers.len());
-        let deputies = u32::try_from(line).unwrap_or(0);
+        let deputies = u32::try_from(controllers).unwrap_or(0);
         let base = if self.log.term().is_none() && self.log.has_gap() {
-            GAP_WAIT
+            CHECKPOINT_TIMEOUT
         } else if self.voter.term().is_some() {
-            self.patience(deputies)
+            self.takeover_delay(deputies)
         } else {
-            CLAIM_WAIT
+            CLAIM_DELAY
         };
-        let pause = (base * 2u32.pow(self.search.claims.min(4))).min(LONGEST_PAUSE.max(base));
-        let start = self.search.since.max(self.search.claim_seen).unwrap_or(now);
-        let start = if self.search.claims > 0 { now } else { start };
-        let jitter = self.jitter(CLAIM_JITTER);
-        start + pause + jitter
+        let delay =
+            (base * 2u32.pow(self.search.claim_count.min(4))).min(MAX_CLAIM_DELAY.max(base));
+        let start = self
+            .search
+            .started_at
+            .max(self.search.claim_won_at)
+            .unwrap_or(now);
+        let start = if self.search.claim_count > 0 {
+            now
+        } else {
+            start
+        };
+        let jitter = self.jitter(MAX_CLAIM_JITTER);
+        start + delay + jitter
     }
 
-    /// Returns the nodes that a claim names as voters: those of the term before, those the last
-    /// controller routed to, and those that joined since.
+    /// Returns the candidates for voters and controllers of a claim: the voters of the previous
+    /// term, the nodes in the last routing table and those that joined since.
     ///
-    /// A claimant that is cut off may know hardly anyone. If it named itself alone, every later
-    /// term would need its vote, and the cell would stand still while it stays cut off. The voters
-    /// of the term before are needed in any case, so naming them costs nothing.
+    /// A claimant that is cut off may know few nodes. If it named only itself, every later term
+    /// would need its vote, and no controller could be established while it stays cut off. The
+    /// voters of the previous term are needed in any case, so naming them costs nothing.
     fn claim_candidates(&self, members: &[Member]) -> Vec<Member> {
         let own = &self.config.member.node;
         let earlier = self.newest_term();
--- a/crates/core/src/ownership/machine/context.rs
+++ b/crates/core/src/ownership/machine/context.rs
@@ -1,4 +1,4 @@
-//! What a controller sees of its node.
+//! The state of a node that its controller reads.
 
 use super::ControlLog;
 use crate::cluster::Member;
@@ -8,7 +8,7 @@
 use crate::ownership::SafetyRules;
 use crate::time::Moment;
 
-/// Lends a controller the parts of its node that it reads.
+/// Borrows the parts of a node that its controller reads.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Context<'a> {
     pub(super) now: Moment,
@@ -33,7 +33,7 @@
         !server_out && !intent.zones_out.contains(&member.zone)
     }
 
-    /// Returns the times that a new term takes from the document.
+    /// Returns the times of a new term, which come from the document.
     pub(super) fn times(&self) -> LeaseTimes {
         self.intent.map_or_else(LeaseTimes::default, |intent| {
             intent.document.ownership.into()
--- a/crates/core/src/ownership/machine/control_log.rs
+++ b/crates/core/src/ownership/machine/control_log.rs
@@ -1,4 +1,4 @@
-//! The replay of the control stream.
+//! The replayed state of the control stream.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,44 +16,44 @@
 use crate::ownership::record::ControlRecord;
 use crate::ownership::record::TermState;
 
-/// How many record ids are remembered. A retry follows its first attempt within seconds and a cell
-/// writes a few records a minute, so this covers hours.
-const REMEMBERED_RECORDS: usize = 4_096;
+/// How many record ids are remembered to drop duplicates. A retry follows its first attempt within
+/// seconds and a cluster writes a few records a minute, so this covers hours.
+const MAX_REMEMBERED_IDS: usize = 4_096;
 
-/// Replays the control stream; every reader that has read as far comes to the same term.
+/// Replays the control stream. All readers that have read up to the same offset agree on the term.
 #[derive(Debug, Default)]
 pub(super) struct ControlLog {
-    seen: BTreeSet<RecordId>,
-    order: VecDeque<RecordId>,
-    start: Offset,
-    next: Offset,
+    seen_ids: BTreeSet<RecordId>,
+    id_order: VecDeque<RecordId>,
+    first_offset: Offset,
+    next_offset: Offset,
     current: bool,
     term: Option<TermState>,
     joins: BTreeMap<NodeName, Member>,
-    undecided: Vec<(Offset, Claim)>,
+    pending_claims: Vec<(Offset, Claim)>,
 }
 
 impl ControlLog {
-    /// Takes the outcome of a read.
-    pub(super) fn read(&mut self, entries: &[LogEntry], at_end: bool) {
+    /// Replays the entries of a read.
+    pub(super) fn replay_entries(&mut self, entries: &[LogEntry], at_end: bool) {
         for entry in entries {
-            self.replay(entry);
+            self.replay_entry(entry);
         }
         self.current = at_end;
     }
 
-    /// Notes that records were missed; what is known may be outdated, so it decides nothing until
-    /// a checkpoint or a first claim is read.
+    /// Skips expired records. The known term may be outdated, so it is dropped until a checkpoint
+    /// or a first claim is read.
     pub(super) fn skip_to(&mut self, oldest: Offset) {
-        self.start = oldest;
-        self.next = oldest;
+        self.first_offset = oldest;
+        self.next_offset = oldest;
         self.term = None;
-        self.undecided.clear();
+        self.pending_claims.clear();
         self.current = false;
     }
 
-    /// Notes that the log service does not answer.
-    pub(super) fn lose(&mut self) {
+    /// Records that the log service does not answer.
+    pub(super) fn mark_unavailable(&mut self) {
         self.current = false;
     }
 
@@ -62,14 +62,14 @@
         self.current
     }
 
-    /// Tells whether a record was read.
+    /// Tells whether a record with this id was read.
     pub(super) fn contains(&self, id: RecordId) -> bool {
-        self.seen.contains(&id)
+        self.seen_ids.contains(&id)
     }
 
-    /// Tells whether records before the first one read are missing.
+    /// Tells whether records at the beginning of the stream were missed.
     pub(super) fn has_gap(&self) -> bool {
-        self.start > Offset(0)
+        self.first_offset > Offset(0)
     }
 
     pub(super) fn term(&self) -> Option<&TermState> {
@@ -81,87 +81,89 @@
     }
 
     pub(super) fn next_offset(&self) -> Offset {
-        self.next
+        self.next_offset
     }
 
-    /// Returns the number of a new claim and the term it follows.
+    /// Returns the term of a new claim and the term that it follows.
     ///
-    /// Every term takes at least one record, so no term exceeds the count of records before its
-    /// claim plus one. A writer that finds no term in a log whose beginning has expired therefore
-    /// exceeds all earlier terms by numbering its own after the offset.
+    /// Every term takes at least one record, so no term exceeds the number of records before its
+    /// claim plus one. If the beginning of the log has expired and the rest contains no term, a
+    /// term derived from the next offset is therefore higher than all earlier ones.
     pub(super) fn next_term(&self) -> (Term, Option<Term>) {
         match &self.term {
             Some(state) => (state.term().next(), Some(state.term())),
-            None if self.has_gap() => (Term(self.next.0 + 1), None),
+            None if self.has_gap() => (Term(self.next_offset.0 + 1), None),
             None => (Term(1), None),
         }
     }
 
-    fn replay(&mut self, entry: &LogEntry) {
-        if entry.offset < self.next {
+    fn replay_entry(&mut self, entry: &LogEntry) {
+        if entry.offset < self.next_offset {
             return;
         }
-        self.next = entry.offset.next();
+        self.next_offset = entry.offset.next();
         let Ok(record) = serde_json::from_slice::<ControlRecord>(&entry.data) else {
-            log::warn!(event = "control_record_unreadable", offset:% = entry.offset; "skipped");
+            log::warn!(event = "control_record_unreadable", offset:% = entry.offset; "skipped an unreadable control record");
             return;
         };
-        if !self.remember(record.id) {
+        if !self.remember_id(record.id) {
             return;
         }
         match record.body {
-            ControlBody::Join(member) => self.join(member),
-            ControlBody::Claim(claim) => self.claim(entry.offset, claim),
-            ControlBody::Established(term) => self.establish(term),
-            ControlBody::Checkpoint(checkpoint) => self.restore(checkpoint),
+            ControlBody::Join(member) => self.apply_join(member),
+            ControlBody::Claim(claim) => self.apply_claim(entry.offset, claim),
+            ControlBody::Established(term) => self.apply_established(term),
+            ControlBody::Checkpoint(checkpoint) => self.apply_checkpoint(checkpoint),
         }
     }
 
-    fn remember(&mut self, id: RecordId) -> bool {
-        if !self.seen.insert(id) {
+    fn remember_id(&mut self, id: RecordId) -> bool {
+        if !self.seen_ids.insert(id) {
             return false;
         }
-        self.order.push_back(id);
-        if self.order.len() > REMEMBERED_RECORDS
-            && let Some(oldest) = self.order.pop_front()
+        self.id_order.push_back(id);
+        if self.id_order.len() > MAX_REMEMBERED_IDS
+            && let Some(oldest) = self.id_order.pop_front()
         {
-            self.seen.remove(&oldest);
+            self.seen_ids.remove(&oldest);
         }
         true
     }
 
-    fn join(&mut self, member: Member) {
+    fn apply_join(&mut self, member: Member) {
         let known = self.joins.get(&member.node);
         if known.is_none_or(|known| known.incarnation <= member.incarnation) {
             self.joins.insert(member.node.clone(), member);
         }
     }
 
-    fn claim(&mut self, offset: Offset, claim: Claim) {
+    fn apply_claim(&mut self, offset: Offset, claim: Claim) {
         if claim.controllers.is_empty() || claim.voters.len().is_multiple_of(2) {
             return;
         }
         let wins = match (&self.term, claim.predecessor) {
-            (Some(state), Some(base)) => base == state.term() && claim.term == base.next(),
+            (Some(state), Some(predecessor)) => {
+                predecessor == state.term() && claim.term == predecessor.next()
+            }
             (Some(state), None) => claim.term > state.term(),
-            (None, None) => self.start <= claim.next_offset,
+            (None, None) => self.first_offset <= claim.next_offset,
             (None, Some(_)) => {
-                self.undecided.push((offset, claim));
+                self.pending_claims.push((offset, claim));
                 return;
             }
         };
         if wins {
-            self.install(claim);
+            self.start_term(claim);
         }
     }
 
-    fn install(&mut self, claim: Claim) {
+    fn start_term(&mut self, claim: Claim) {
         let own = claim.times.unreported_wait();
         let (earlier, wait) = match self.term.take() {
             None => (Vec::new(), own),
             Some(state) => (state.voter_sets(), state.successor_wait().max(own)),
         };
-        self.undecided.clear();
+        self.pending_claims.clear();
         self.joins.clear();
         self.term = Some(TermState {
             claim,
@@ -171,7 +173,7 @@
         });
     }
 
-    fn establish(&mut self, term: Term) {
+    fn apply_established(&mut self, term: Term) {
         if let Some(state) = &mut self.term
             && state.term() == term
         {
@@ -180,17 +182,17 @@
         }
     }
 
-    /// Takes a checkpoint as the state at its offset and decides the claims read since. It counts
-    /// only for a reader that has everything since that offset; otherwise a claim that lost to an
+    /// Adopts a checkpoint as the state at its offset and decides the claims read since then. It is
+    /// ignored unless every record since that offset was read; otherwise a claim that lost to an
     /// unread one would seem to win.
-    fn restore(&mut self, checkpoint: Checkpoint) {
-        if self.term.is_some() || self.start > checkpoint.next_offset {
+    fn apply_checkpoint(&mut self, checkpoint: Checkpoint) {
+        if self.term.is_some() || self.first_offset > checkpoint.next_offset {
             return;
         }
         self.term = Some(checkpoint.term);
-        for (offset, claim) in std::mem::take(&mut self.undecided) {
+        for (offset, claim) in std::mem::take(&mut self.pending_claims) {
             if offset >= checkpoint.next_offset {
-                self.claim(offset, claim);
+                self.apply_claim(offset, claim);
             }
         }
     }
--- a/crates/core/src/ownership/machine/office.rs
+++ b/crates/core/src/ownership/machine/controller_role.rs
@@ -1,4 +1,4 @@
-//! How a node becomes the controller, and stops being it.
+//! How a node takes and gives up the role of controller.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,17 +16,17 @@
 use crate::time::Moment;
 
 impl Ownership {
-    /// Takes the office that the log or the silence of those ahead in line gives to this node.
-    pub(super) fn take_office(&mut self, now: Moment, out: &mut Outbox) {
-        if self.leaving.is_some() {
+    /// Becomes controller if the log names this node as one or all nodes of lower rank are silent.
+    pub(super) fn try_become_controller(&mut self, now: Moment, out: &mut Outbox) {
+        if self.leaving_since.is_some() {
             return;
         }
-        if let Some((ballot, term)) = self.due_office(now) {
-            // A term's own controller made sure when it claimed.
-            if ballot.rank > Rank(0) && !self.hears_voters(now, &term, out) {
+        if let Some((ballot, term)) = self.due_ballot(now) {
+            // The controller of rank 0 checked this before its claim.
+            if ballot.rank > Rank(0) && !self.reaches_majorities(now, &term, out) {
                 return;
             }
-            self.acted = ballot;
+            self.last_acted = ballot;
             if self.controller.is_some() {
                 self.stand_down(StandDownReason::Superseded, out);
             }
@@ -35,28 +35,28 @@
                 rank: ballot.rank,
             });
             self.appender.cancel(RecordKind::Claim);
-            let (_, context) = self.parts(now);
+            let (_, context) = self.controller_and_context(now);
             let controller = Controller::open(&context, ballot, term.clone());
             self.controller = Some(controller);
-            self.follow(now, ballot, Some(term.as_ref().clone()), out);
+            self.adopt_ballot(now, ballot, Some(term.as_ref().clone()), out);
         }
     }
 
-    /// Does what the controller, if this node is it, has to do.
+    /// Runs the controller, if this node is it, and appends the records that it needs.
     pub(super) fn run_controller(&mut self, now: Moment, out: &mut Outbox) {
-        let (Some(controller), context) = self.parts(now) else {
+        let (Some(controller), context) = self.controller_and_context(now) else {
             return;
         };
         if let Some(reason) = controller.advance(&context, out) {
             self.stand_down(reason, out);
             return;
         }
-        let owes = controller.needs_established_record(&context);
+        let needs_record = controller.needs_established_record(&context);
         let checkpoint = controller.due_checkpoint(&context);
         let claim = controller.due_claim(&context);
         let term = controller.ballot().term;
-        if owes && !self.appender.has(RecordKind::Established) {
-            self.append(
+        if needs_record && !self.appender.has_pending(RecordKind::Established) {
+            self.append_record(
                 now,
                 RecordKind::Established,
                 ControlBody::Established(term),
@@ -64,7 +64,7 @@
             );
         }
         if let Some(checkpoint) = checkpoint {
-            self.append(
+            self.append_record(
                 now,
                 RecordKind::Checkpoint,
                 ControlBody::Checkpoint(checkpoint),
@@ -72,14 +72,14 @@
             );
         }
         if let Some(claim) = claim
-            && !self.appender.has(RecordKind::Claim)
+            && !self.appender.has_pending(RecordKind::Claim)
         {
-            self.claim(now, claim, out);
+            self.append_claim(now, claim, out);
         }
     }
 
-    /// Stops acting as controller. It is for good: the ballot is never used again, because its
-    /// voters may have adopted a higher one in the meantime.
+    /// Stops acting as controller. The ballot is never used again, because its voters may have
+    /// adopted a higher one meanwhile.
     pub(super) fn stand_down(&mut self, reason: StandDownReason, out: &mut Outbox) {
         if let Some(controller) = self.controller.take() {
             controller.explain_stand_down(reason, out);
@@ -88,7 +88,7 @@
         }
     }
 
-    pub(super) fn append(
+    pub(super) fn append_record(
         &mut self,
         now: Moment,
         kind: RecordKind,
@@ -98,57 +98,58 @@
         self.appender.append(now, kind, body, &mut self.rng, out);
     }
 
-    fn due_office(&self, now: Moment) -> Option<(Ballot, Arc<TermState>)> {
+    fn due_ballot(&self, now: Moment) -> Option<(Ballot, Arc<TermState>)> {
         self.due_term().or_else(|| self.due_rank(now))
     }
 
-    /// Returns the term that names this life as its controller.
+    /// Returns the term in the log if it names this incarnation as controller.
     fn due_term(&self) -> Option<(Ballot, Arc<TermState>)> {
         let state = self.log.term()?;
         let ballot = state.ballot(Rank(0));
         let due = ballot.term > self.voter.adopted().term
-            && ballot > self.acted
-            && self.rank_in(state) == Some(Rank(0));
+            && ballot > self.last_acted
+            && self.own_rank(state) == Some(Rank(0));
         due.then(|| (ballot, Arc::new(state.clone())))
     }
 
-    /// Returns the rank whose turn has come, because those ahead in the adopted term's line are
-    /// silent. The line was agreed in the log, so this needs no log.
+    /// Returns this node's ballot in the adopted term if all nodes of lower rank are silent. The
+    /// order of deputies was agreed in the log, so a takeover does not need the log.
     fn due_rank(&self, now: Moment) -> Option<(Ballot, Arc<TermState>)> {
         let term = self.voter.term()?;
         let adopted = self.voter.adopted();
-        let rank = self.rank_in(term)?;
+        let rank = self.own_rank(term)?;
         let ballot = term.ballot(rank);
-        if rank <= adopted.rank || ballot <= self.acted {
+        if rank <= adopted.rank || ballot <= self.last_acted {
             return None;
         }
         let ahead = rank.0 - adopted.rank.0 - 1;
-        let patience = self.patience(ahead);
-        let silent = match self.voter.last_heard() {
+        let delay = self.takeover_delay(ahead);
+        let silent = match self.voter.last_received() {
             None => ahead == 0,
-            Some(heard) => now.since(heard) >= patience,
+            Some(received) => now.since(received) >= delay,
         };
         silent.then(|| (ballot, term.clone()))
     }
 
-    /// Returns how long silence must last before the deputy acts that has `ahead` others before it.
-    pub(super) fn patience(&self, ahead: u32) -> Duration {
+    /// Returns how long the controller must be silent before a deputy takes over that has `ahead`
+    /// other deputies before it.
+    pub(super) fn takeover_delay(&self, ahead: u32) -> Duration {
         let detection = self.voter.times().detection_time();
         detection + detection / 2 * ahead
     }
 
-    /// Finds this node's rank. A restarted node has no rank in a term that names its earlier life:
-    /// it has forgotten what it granted under it.
-    fn rank_in(&self, term: &TermState) -> Option<Rank> {
+    /// Returns this node's rank in a term. A restarted node has no rank in a term that names its
+    /// earlier incarnation, because it has lost the grants that it made under it.
+    fn own_rank(&self, term: &TermState) -> Option<Rank> {
         let own = &self.config.member;
         if self.config.rules.exact_incarnation {
             return term.rank_of(&own.node, own.incarnation);
         }
-        let place = term
+        let position = term
             .claim
             .controllers
             .iter()
             .position(|member| member.node == own.node)?;
-        u32::try_from(place).ok().map(Rank)
+        u32::try_from(position).ok().map(Rank)
     }
 }
--- a/crates/core/src/ownership/machine/divisions.rs
+++ b/crates/core/src/ownership/machine/divisions.rs
@@ -1,4 +1,4 @@
-//! Into how many slices the services in use are divided.
+//! The number of slices of each service.
 
 use std::collections::BTreeMap;
 
@@ -8,17 +8,17 @@
 use crate::ownership::record::Division;
 use crate::ownership::record::TermState;
 
-/// Remembers the number of slices with which each service came into use.
+/// Remembers the number of slices that each service had when it came into use.
 ///
-/// A document that changes it is not followed: while the change spreads, two nodes would name
-/// different slices for one key, and both could own theirs.
+/// A document that changes this number is not followed. While the change spreads, two nodes would
+/// map one key to different slices, and each could own its slice.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Divisions {
     slices: BTreeMap<ServiceName, u32>,
 }
 
 impl Divisions {
-    /// Collects what the term fixes and what the last controller published since.
+    /// Collects the numbers fixed by the term and those published by the last controller since.
     pub(super) fn collect(context: &Context<'_>, term: Option<&TermState>) -> Self {
         let published = context.routing.services.iter();
         let mut slices: BTreeMap<ServiceName, u32> = published
@@ -29,7 +29,7 @@
         Self { slices }
     }
 
-    /// Takes in the services that came into use with a newer document.
+    /// Adds the services that came into use with a newer document.
     pub(super) fn add_services(&mut self, context: &Context<'_>) {
         let services = context.intent.map(|intent| &intent.document.services);
         for service in services.into_iter().flatten() {
@@ -39,20 +39,20 @@
         }
     }
 
-    /// Returns how many slices a service has.
+    /// Returns the number of slices of a service, 0 if it is unknown.
     pub(super) fn count(&self, service: &ServiceName) -> u32 {
         self.slices.get(service).copied().unwrap_or(0)
     }
 
-    /// Tells whether the document names the service of a slice and the service has the slice.
+    /// Tells whether a slice exists and the document names its service.
     pub(super) fn has_slice(&self, context: &Context<'_>, slice: &SliceId) -> bool {
         let document = context.intent.map(|intent| &intent.document);
         let named = document.is_some_and(|document| document.service(&slice.service).is_some());
         named && slice.index.0 < self.count(&slice.service)
     }
 
-    /// Lists the divisions of the services that the document still names, for the next claim. All
-    /// are kept while the document is not known.
+    /// Returns the divisions of the services that the document still names, for the next claim. All
+    /// are kept while the document is unknown.
     pub(super) fn named_in(&self, context: &Context<'_>) -> Vec<Division> {
         let named = |name: &ServiceName| {
             context
--- a/crates/core/src/ownership/machine/events.rs
+++ b/crates/core/src/ownership/machine/events.rs
@@ -1,4 +1,4 @@
-//! Events other than messages.
+//! Handling of events other than messages.
 
 use super::Outbox;
 use super::Ownership;
@@ -8,7 +8,7 @@
 use crate::time::Moment;
 
 impl Ownership {
-    pub(super) fn take_event(&mut self, now: Moment, event: OwnershipEvent, out: &mut Outbox) {
+    pub(super) fn handle_event(&mut self, now: Moment, event: OwnershipEvent, out: &mut Outbox) {
         match event {
             OwnershipEvent::Tick => {}
             OwnershipEvent::IntentChanged(intent) => {
@@ -21,35 +21,37 @@
                 }
             }
             OwnershipEvent::LogRead { entries, at_end } => {
-                let before = self.known_term();
-                self.log.read(&entries, at_end);
-                self.note_term(now, before, out);
+                let before = self.logged_term();
+                self.log.replay_entries(&entries, at_end);
+                self.report_new_term(now, before, out);
             }
             OwnershipEvent::LogExpired(oldest) => self.log.skip_to(oldest),
-            OwnershipEvent::LogUnavailable => self.log.lose(),
+            OwnershipEvent::LogUnavailable => self.log.mark_unavailable(),
             OwnershipEvent::AppendFinished { id, outcome } => {
-                self.appender.finish(now, id, outcome);
+                self.appender.record_outcome(now, id, outcome);
             }
             OwnershipEvent::MessageReceived { from, message } => {
-                self.take_message(now, from, message, out);
+                self.handle_message(now, from, message, out);
             }
-            OwnershipEvent::TrafficMeasured(measure) => self.holder.measure(measure),
-            OwnershipEvent::ShutdownRequested => self.leave(now),
-            event => self.take_server_event(now, event, out),
+            OwnershipEvent::TrafficMeasured(measure) => self.holder.record_load(measure),
+            OwnershipEvent::ShutdownRequested => self.start_leaving(now),
+            event => self.handle_server_event(now, event, out),
         }
     }
 
-    fn take_server_event(&mut self, now: Moment, event: OwnershipEvent, out: &mut Outbox) {
+    fn handle_server_event(&mut self, now: Moment, event: OwnershipEvent, out: &mut Outbox) {
         match event {
             OwnershipEvent::ServerAnnounced(announcement) => {
-                self.holder.announce(now, announcement, out);
+                self.holder.handle_announcement(now, announcement, out);
             }
-            OwnershipEvent::ServerLost => self.holder.lose_server(now, out),
+            OwnershipEvent::ServerLost => self.holder.handle_server_lost(now, out),
             OwnershipEvent::GrantAnswered {
                 slice,
                 fence,
                 outcome,
-            } => self.holder.finish_grant(now, &slice, fence, outcome, out),
+            } => self
+                .holder
+                .handle_grant_outcome(now, &slice, fence, outcome, out),
             OwnershipEvent::SliceDrained { slice, fence } => {
                 self.holder.finish_drain(now, &slice, fence, out);
             }
@@ -57,18 +59,18 @@
         }
     }
 
-    fn known_term(&self) -> Option<Term> {
+    fn logged_term(&self) -> Option<Term> {
         self.log.term().map(|state| state.term())
     }
 
-    fn note_term(&mut self, now: Moment, before: Option<Term>, out: &mut Outbox) {
+    fn report_new_term(&mut self, now: Moment, before: Option<Term>, out: &mut Outbox) {
         let Some(state) = self.log.term() else {
             return;
         };
         if before == Some(state.term()) {
             return;
         }
-        self.search.note_claim(now);
+        self.search.record_won_claim(now);
         if let Some(controller) = state.claim.controllers.first() {
             out.explain(Happening::TermWon {
                 term: state.term(),
--- a/crates/core/src/ownership/machine/holder/answers.rs
+++ b/crates/core/src/ownership/machine/holder/answers.rs
@@ -1,9 +1,9 @@
-//! Answers to heartbeats.
+//! Handling of answers to heartbeats.
 
+use super::GrantStage;
 use super::HeldLease;
 use super::Holder;
 use super::Outbox;
-use super::Stage;
 use crate::explain::Happening;
 use crate::explain::LapseReason;
 use crate::explain::WithdrawReason;
@@ -16,9 +16,9 @@
 use crate::time::Moment;
 
 impl Holder {
-    /// Takes an answer to a heartbeat of this life; an answer to any other heartbeat, or a second
-    /// one to the same, changes nothing.
-    pub(in crate::ownership::machine) fn take_answer(
+    /// Handles the answer to an unanswered heartbeat of this incarnation. Any other answer, or a
+    /// second one to the same heartbeat, is ignored.
+    pub(in crate::ownership::machine) fn handle_answer(
         &mut self,
         now: Moment,
         times: LeaseTimes,
@@ -28,19 +28,19 @@
         if answer.incarnation != self.own.incarnation {
             return;
         }
-        let Some(heartbeat) = self.sent.remove(&answer.number) else {
+        let Some(heartbeat) = self.unanswered.remove(&answer.number) else {
             return;
         };
-        self.answered = true;
-        self.answered_at = Some(now);
-        if let Some(profile) = heartbeat.profile {
-            self.known_profile = self.known_profile.max(profile);
+        self.report_answered = true;
+        self.last_answer = Some(now);
+        if let Some(profile) = heartbeat.profile_version {
+            self.answered_profile = self.answered_profile.max(profile);
         }
         for fence in &heartbeat.released {
             self.released.remove(fence);
         }
         let start = if self.rules.send_time {
-            heartbeat.sent
+            heartbeat.sent_at
         } else {
             now
         };
@@ -48,39 +48,39 @@
         self.renew(&heartbeat.held, &answer.unrecognised, deadline);
         self.drop_unrecognised(&answer.unrecognised, out);
         for grant in &answer.grants {
-            self.take_grant(now, grant, deadline, out);
+            self.handle_grant(now, grant, deadline, out);
         }
         for drain in &answer.drains {
             self.drain(drain.fence, drain.successor.clone(), out);
         }
     }
 
-    fn renew(&mut self, held: &[(SliceId, Fence)], dropped: &[Fence], deadline: Moment) {
+    fn renew(&mut self, held: &[(SliceId, Fence)], unrecognised: &[Fence], deadline: Moment) {
         for (slice, fence) in held {
             if let Some(lease) = self.leases.get_mut(slice)
                 && lease.fence == *fence
-                && !dropped.contains(fence)
+                && !unrecognised.contains(fence)
             {
                 lease.extend(deadline);
             }
         }
     }
 
-    fn drop_unrecognised(&mut self, dropped: &[Fence], out: &mut Outbox) {
+    fn drop_unrecognised(&mut self, unrecognised: &[Fence], out: &mut Outbox) {
         let lost = |(slice, lease): (&SliceId, &HeldLease)| {
-            let named = dropped.contains(&lease.fence);
+            let named = unrecognised.contains(&lease.fence);
             named.then(|| (slice.clone(), lease.fence))
         };
         let lost: Vec<_> = self.leases.iter().filter_map(lost).collect();
         for (slice, fence) in lost {
-            self.forget(&slice, fence, LapseReason::NotRecognised, out);
+            self.drop_lease(&slice, fence, LapseReason::NotRecognised, out);
         }
     }
 
-    fn take_grant(&mut self, now: Moment, grant: &Grant, deadline: Moment, out: &mut Outbox) {
+    fn handle_grant(&mut self, now: Moment, grant: &Grant, deadline: Moment, out: &mut Outbox) {
         if self.has_ended(&grant.slice, grant.fence) {
             self.released.insert(grant.fence);
-            self.hurry(now);
+            self.expedite_heartbeat(now);
             return;
         }
         if deadline <= now {
@@ -88,7 +88,7 @@
         }
         match self.leases.get_mut(&grant.slice) {
             Some(lease) if lease.fence == grant.fence => {
-                if lease.stage == Stage::Activating {
+                if lease.stage == GrantStage::Activating {
                     lease.extend(deadline);
                 }
                 return;
@@ -96,12 +96,12 @@
             Some(lease) if lease.fence > grant.fence => return,
             Some(lease) => {
                 let older = lease.fence;
-                self.forget(&grant.slice, older, LapseReason::Replaced, out);
+                self.drop_lease(&grant.slice, older, LapseReason::Replaced, out);
             }
             None => {}
         }
         if self.server.is_none() {
-            self.give_back(&grant.slice, grant.fence);
+            self.end_grant(&grant.slice, grant.fence);
             out.explain(Happening::GrantWithdrawn {
                 slice: grant.slice.clone(),
                 fence: grant.fence,
@@ -112,7 +112,7 @@
         let lease = HeldLease {
             fence: grant.fence,
             deadline,
-            stage: Stage::Activating,
+            stage: GrantStage::Activating,
         };
         self.leases.insert(grant.slice.clone(), lease);
         out.push(OwnershipAction::GrantServer {
@@ -123,6 +123,8 @@
     }
 
     fn has_ended(&self, slice: &SliceId, fence: Fence) -> bool {
-        self.ended.get(slice).is_some_and(|ended| *ended >= fence)
+        self.ended_grants
+            .get(slice)
+            .is_some_and(|ended| *ended >= fence)
     }
 }
--- a/crates/core/src/ownership/machine/holder/heartbeats.rs
+++ b/crates/core/src/ownership/machine/holder/heartbeats.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
+use super::HeartbeatContext;
 use super::Holder;
 use super::SentHeartbeat;
-use super::Voice;
 use crate::cluster::ServerState;
 use crate::ids::Fence;
 use crate::ids::SliceId;
@@ -19,74 +19,75 @@
 use crate::time::Moment;
 
 /// The shortest time between two heartbeats, so that a burst of confirmed grants shares one.
-const SHORTEST_GAP: Duration = Duration::from_millis(10);
-/// How often the load goes along; a controller moves slices far more seldom.
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(10);
+/// How often heartbeats carry the load; a controller moves slices much less often.
 const LOAD_PERIOD: Duration = Duration::from_millis(1_000);
-/// How many hot keys are named.
-const NAMED_KEYS: usize = 4;
+/// How many hot keys are reported at most.
+const MAX_HOT_KEYS: usize = 4;
 
 impl Holder {
     /// Tells whether a heartbeat is due.
-    pub(in crate::ownership::machine) fn is_due(&self, now: Moment) -> bool {
-        let rested = self
-            .last_beat
-            .is_none_or(|last| now.since(last) >= SHORTEST_GAP);
-        rested && self.next_beat <= now
+    pub(in crate::ownership::machine) fn is_heartbeat_due(&self, now: Moment) -> bool {
+        let interval_passed = self
+            .last_heartbeat
+            .is_none_or(|last| now.since(last) >= MIN_HEARTBEAT_INTERVAL);
+        interval_passed && self.next_heartbeat <= now
     }
 
-    /// Makes the next heartbeat and remembers when it was sent.
-    pub(in crate::ownership::machine) fn beat(
+    /// Builds the next heartbeat and remembers when it was sent.
+    pub(in crate::ownership::machine) fn build_heartbeat(
         &mut self,
         now: Moment,
         times: LeaseTimes,
-        voice: Voice,
+        context: HeartbeatContext,
     ) -> Heartbeat {
-        self.number += 1;
-        self.last_beat = Some(now);
-        self.next_beat = now + times.heartbeat();
+        self.heartbeat_number += 1;
+        self.last_heartbeat = Some(now);
+        self.next_heartbeat = now + times.heartbeat();
         let oldest = now.before(times.lease());
-        self.sent.retain(|_, heartbeat| heartbeat.sent >= oldest);
+        self.unanswered
+            .retain(|_, heartbeat| heartbeat.sent_at >= oldest);
         let confirmed = self.leases.iter().filter(|(_, lease)| lease.is_confirmed());
         let held: Vec<_> = confirmed
             .map(|(slice, lease)| (slice.clone(), lease.fence))
             .collect();
-        let profile = !self.answered || self.profile != self.known_profile;
+        let sends_profile = !self.report_answered || self.profile_version != self.answered_profile;
         let load = self.due_load(now, &held);
         let heartbeat = Heartbeat {
             node: self.own.node.clone(),
             incarnation: self.own.incarnation,
-            number: self.number,
-            ballot: voice.ballot,
-            acked: voice.round,
-            round: voice.heard,
+            number: self.heartbeat_number,
+            ballot: context.ballot,
+            acked: context.acked,
+            round: context.round,
             held: held.iter().map(|(_, fence)| *fence).collect(),
             released: self.released.iter().copied().collect(),
-            leases: (!self.answered).then(|| self.report(now)),
-            profile: profile.then(|| self.describe()),
+            leases: (!self.report_answered).then(|| self.lease_reports(now)),
+            profile: sends_profile.then(|| self.own_profile()),
             load,
-            routing: voice.routing,
+            routing: context.routing,
         };
         let sent = SentHeartbeat {
-            sent: now,
+            sent_at: now,
             held,
             released: heartbeat.released.clone(),
-            profile: profile.then_some(self.profile),
+            profile_version: sends_profile.then_some(self.profile_version),
         };
-        self.sent.insert(self.number, sent);
+        self.unanswered.insert(self.heartbeat_number, sent);
         heartbeat
     }
 
-    fn report(&self, now: Moment) -> Vec<LeaseReport> {
-        let holding = |(slice, lease): (&_, &super::HeldLease)| LeaseReport {
+    fn lease_reports(&self, now: Moment) -> Vec<LeaseReport> {
+        let report = |(slice, lease): (&_, &super::HeldLease)| LeaseReport {
             slice: Clone::clone(slice),
             fence: lease.fence,
             remaining: whole_milliseconds(lease.deadline.since(now)),
             confirmed: lease.is_confirmed(),
         };
-        self.leases.iter().map(holding).collect()
+        self.leases.iter().map(report).collect()
     }
 
-    fn describe(&self) -> Profile {
+    fn own_profile(&self) -> Profile {
         let server = self.server.as_ref();
         Profile {
             member: self.member(),
@@ -98,13 +99,13 @@
 
     fn due_load(&mut self, now: Moment, held: &[(SliceId, Fence)]) -> Option<LoadReport> {
         let due = self
-            .load_sent
+            .last_load
             .is_none_or(|sent| now.since(sent) >= LOAD_PERIOD);
         if !due {
             return None;
         }
-        let measure = self.load.as_ref()?;
-        self.load_sent = Some(now);
+        let measure = self.measured_load.as_ref()?;
+        self.last_load = Some(now);
         let rate = |slice: &SliceId| {
             let found = measure.slices.iter().find(|load| load.slice == *slice);
             found.map_or(0, |load| load.rate.round() as u32)
@@ -118,7 +119,7 @@
             })
             .collect();
         keys.sort_by_key(|key| std::cmp::Reverse(key.rate));
-        keys.truncate(NAMED_KEYS);
+        keys.truncate(MAX_HOT_KEYS);
         Some(LoadReport {
             limit: measure.limit,
             in_flight: measure.in_flight,
--- a/crates/core/src/ownership/machine/holder/mod.rs
+++ b/crates/core/src/ownership/machine/holder/mod.rs
@@ -1,17 +1,17 @@
-//! The leases of one node.
+//! The leases that one node holds.
 
 mod answers;
+mod grant_stage;
+mod heartbeat_context;
 mod heartbeats;
 mod held_lease;
 mod sent_heartbeat;
 mod server;
-mod stage;
-mod voice;
 
+pub(super) use grant_stage::GrantStage;
+pub(super) use heartbeat_context::HeartbeatContext;
 pub(super) use held_lease::HeldLease;
 pub(super) use sent_heartbeat::SentHeartbeat;
-pub(super) use stage::Stage;
-pub(super) use voice::Voice;
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -32,26 +32,26 @@
 use crate::time::Moment;
 use crate::traffic::TrafficStats;
 
-/// Holds the grants of this node and decides until when each may be used.
+/// Holds the leases of this node and decides how long each may be used.
 #[derive(Debug)]
 pub(super) struct Holder {
     own: Member,
     rules: SafetyRules,
     server: Option<Announcement>,
     leases: BTreeMap<SliceId, HeldLease>,
-    ended: BTreeMap<SliceId, Fence>,
+    ended_grants: BTreeMap<SliceId, Fence>,
     released: BTreeSet<Fence>,
-    sent: BTreeMap<u64, SentHeartbeat>,
-    number: u64,
-    next_beat: Moment,
-    last_beat: Option<Moment>,
-    answered: bool,
-    answered_at: Option<Moment>,
-    profile: u64,
-    known_profile: u64,
+    unanswered: BTreeMap<u64, SentHeartbeat>,
+    heartbeat_number: u64,
+    next_heartbeat: Moment,
+    last_heartbeat: Option<Moment>,
+    report_answered: bool,
+    last_answer: Option<Moment>,
+    profile_version: u64,
+    answered_profile: u64,
     leaving: bool,
-    load: Option<TrafficStats>,
-    load_sent: Option<Moment>,
+    measured_load: Option<TrafficStats>,
+    last_load: Option<Moment>,
     published: LeaseTable,
 }
 
@@ -62,19 +62,19 @@
             rules,
             server: None,
             leases: BTreeMap::new(),
-            ended: BTreeMap::new(),
+            ended_grants: BTreeMap::new(),
             released: BTreeSet::new(),
-            sent: BTreeMap::new(),
-            number: 0,
-            next_beat: Moment(0),
-            last_beat: None,
-            answered: false,
-            answered_at: None,
-            profile: 1,
-            known_profile: 0,
+            unanswered: BTreeMap::new(),
+            heartbeat_number: 0,
+            next_heartbeat: Moment(0),
+            last_heartbeat: None,
+            report_answered: false,
+            last_answer: None,
+            profile_version: 1,
+            answered_profile: 0,
             leaving: false,
-            load: None,
-            load_sent: None,
+            measured_load: None,
+            last_load: None,
             published: LeaseTable::default(),
         }
     }
@@ -83,9 +83,9 @@
         !self.leases.is_empty()
     }
 
-    /// Returns when a controller last answered this life.
-    pub(super) fn last_answered(&self) -> Option<Moment> {
-        self.answered_at
+    /// Returns when a controller last answered this incarnation.
+    pub(super) fn last_answer(&self) -> Option<Moment> {
+        self.last_answer
     }
 
     /// Returns this node with its backend server as announced.
@@ -96,51 +96,53 @@
         member
     }
 
-    /// Drops every lease whose deadline has passed. It runs before anything else at every event: a
-    /// node that was paused must find its leases lapsed before it acts on them.
+    /// Drops every lease whose deadline has passed. This runs first at every event, because a node
+    /// that was paused must drop its lapsed leases before it acts on them.
     pub(super) fn expire(&mut self, now: Moment, out: &mut Outbox) {
         let lapsed = |(slice, lease): (&SliceId, &HeldLease)| {
             (lease.deadline <= now).then(|| (slice.clone(), lease.fence))
         };
         let lapsed: Vec<_> = self.leases.iter().filter_map(lapsed).collect();
         for (slice, fence) in lapsed {
-            self.forget(&slice, fence, LapseReason::NotRenewed, out);
+            self.drop_lease(&slice, fence, LapseReason::NotRenewed, out);
         }
     }
 
-    /// Follows a new controller. Leases stay in force; answers of the old controller do not count
-    /// any more, or it could lengthen a lease that the new one takes for known.
-    pub(super) fn follow(&mut self, now: Moment) {
+    /// Prepares for a newly adopted controller. Leases stay in force, but answers of the old
+    /// controller no longer count; otherwise it could extend a lease beyond the end that was
+    /// reported to the new one.
+    pub(super) fn handle_new_controller(&mut self, now: Moment) {
         if self.rules.void_heartbeats {
-            self.sent.clear();
+            self.unanswered.clear();
         }
-        self.answered = false;
-        self.next_beat = now;
+        self.report_answered = false;
+        self.next_heartbeat = now;
     }
 
-    /// Sends a report with the next heartbeat, because the controller does not know this node.
-    pub(super) fn introduce(&mut self, now: Moment) {
-        self.answered = false;
-        self.next_beat = now;
+    /// Schedules a heartbeat that reports every lease, because the controller does not know this
+    /// node.
+    pub(super) fn schedule_report(&mut self, now: Moment) {
+        self.report_answered = false;
+        self.next_heartbeat = now;
     }
 
-    /// Brings the next heartbeat forward.
-    pub(super) fn hurry(&mut self, now: Moment) {
-        self.next_beat = self.next_beat.min(now);
+    /// Makes the next heartbeat due at once.
+    pub(super) fn expedite_heartbeat(&mut self, now: Moment) {
+        self.next_heartbeat = self.next_heartbeat.min(now);
     }
 
-    pub(super) fn measure(&mut self, measure: TrafficStats) {
-        self.load = Some(measure);
+    pub(super) fn record_load(&mut self, measure: TrafficStats) {
+        self.measured_load = Some(measure);
     }
 
-    pub(super) fn leave(&mut self, now: Moment) {
+    pub(super) fn start_leaving(&mut self, now: Moment) {
         self.leaving = true;
-        self.profile += 1;
-        self.hurry(now);
+        self.profile_version += 1;
+        self.expedite_heartbeat(now);
     }
 
-    /// Takes the backend server's answer to a grant.
-    pub(super) fn finish_grant(
+    /// Handles the backend server's answer to a grant.
+    pub(super) fn handle_grant_outcome(
         &mut self,
         now: Moment,
         slice: &SliceId,
@@ -151,13 +153,13 @@
         let Some(lease) = self.leases.get_mut(slice) else {
             return;
         };
-        if lease.fence != fence || lease.stage != Stage::Activating {
+        if lease.fence != fence || lease.stage != GrantStage::Activating {
             return;
         }
         let reason = match outcome {
             GrantOutcome::Taken => {
-                lease.stage = Stage::Active;
-                self.hurry(now);
+                lease.stage = GrantStage::Active;
+                self.expedite_heartbeat(now);
                 return;
             }
             GrantOutcome::Outdated(_) => WithdrawReason::Outdated,
@@ -166,7 +168,7 @@
         self.withdraw(now, slice, fence, reason, out);
     }
 
-    /// Orders the traffic threads to finish a slice.
+    /// Makes the traffic threads drain a slice.
     pub(super) fn drain(&mut self, fence: Fence, successor: Option<Member>, out: &mut Outbox) {
         let found = self
             .leases
@@ -175,10 +177,10 @@
         let Some((slice, lease)) = found else {
             return;
         };
-        if lease.stage != Stage::Active {
+        if lease.stage != GrantStage::Active {
             return;
         }
-        lease.stage = Stage::Draining;
+        lease.stage = GrantStage::Draining;
         out.push(OwnershipAction::DrainSlice {
             slice: slice.clone(),
             fence,
@@ -186,7 +188,7 @@
         });
     }
 
-    /// Drains every active slice without a successor, because no controller answers a leaving node.
+    /// Drains every active slice without a successor, because no controller moves them away.
     pub(super) fn drain_all(&mut self, out: &mut Outbox) {
         let fences: Vec<Fence> = self.leases.values().map(|lease| lease.fence).collect();
         for fence in fences {
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Gives a drained slice back.
+    /// Releases a drained slice.
     pub(super) fn finish_drain(
         &mut self,
         now: Moment,
@@ -206,8 +208,8 @@
         if held.is_none_or(|lease| lease.fence != fence) {
             return;
         }
-        self.give_back(slice, fence);
-        self.hurry(now);
+        self.end_grant(slice, fence);
+        self.expedite_heartbeat(now);
         out.explain(Happening::SliceReleased {
             slice: slice.clone(),
             fence,
@@ -235,8 +237,8 @@
         reason: WithdrawReason,
         out: &mut Outbox,
     ) {
-        self.give_back(slice, fence);
-        self.hurry(now);
+        self.end_grant(slice, fence);
+        self.expedite_heartbeat(now);
         out.explain(Happening::GrantWithdrawn {
             slice: slice.clone(),
             fence,
@@ -244,8 +246,8 @@
         });
     }
 
-    fn forget(&mut self, slice: &SliceId, fence: Fence, reason: LapseReason, out: &mut Outbox) {
-        self.give_back(slice, fence);
+    fn drop_lease(&mut self, slice: &SliceId, fence: Fence, reason: LapseReason, out: &mut Outbox) {
+        self.end_grant(slice, fence);
         out.push(OwnershipAction::ForgetSlice {
             slice: slice.clone(),
             fence,
@@ -257,14 +259,14 @@
         });
     }
 
-    /// Ends a grant for good. Every unanswered heartbeat becomes void: its answer could otherwise
-    /// bring the grant back after the controller has given the slice to another node.
-    fn give_back(&mut self, slice: &SliceId, fence: Fence) {
+    /// Ends a grant for good. Every unanswered heartbeat is voided, because its answer could
+    /// otherwise restore the grant after the controller has granted the slice to another node.
+    fn end_grant(&mut self, slice: &SliceId, fence: Fence) {
         self.leases.remove(slice);
         self.released.insert(fence);
         if self.rules.fenced_release {
-            self.ended.insert(slice.clone(), fence);
-            self.sent.clear();
+            self.ended_grants.insert(slice.clone(), fence);
+            self.unanswered.clear();
         }
     }
 }
--- a/crates/core/src/ownership/machine/holder/server.rs
+++ b/crates/core/src/ownership/machine/holder/server.rs
@@ -1,4 +1,4 @@
-//! The backend server beside the node.
+//! Handling of the node's backend server.
 
 use super::Holder;
 use super::Outbox;
@@ -7,46 +7,50 @@
 use crate::time::Moment;
 
 impl Holder {
-    /// Takes an announcement. A restarted backend server has forgotten its fences and its keys, so
-    /// the grants of its earlier life end and have to be given anew.
-    pub(in crate::ownership::machine) fn announce(
+    /// Handles an announcement. A restarted backend server has lost its fences and its keys, so the
+    /// grants of its earlier incarnation end and must be granted again.
+    pub(in crate::ownership::machine) fn handle_announcement(
         &mut self,
         now: Moment,
         announcement: Announcement,
         out: &mut Outbox,
     ) {
         let known = self.server.as_ref();
-        let same_life = known.is_some_and(|known| {
+        let same_incarnation = known.is_some_and(|known| {
             known.incarnation == announcement.incarnation && known.server == announcement.server
         });
         let changed = known.is_none_or(|known| {
             known.state != announcement.state || known.slots != announcement.slots
         });
-        if known.is_some() && !same_life {
-            self.forget_all(out);
+        if known.is_some() && !same_incarnation {
+            self.drop_all_leases(out);
         }
         self.server = Some(announcement);
-        if changed || !same_life {
-            self.profile += 1;
-            self.hurry(now);
+        if changed || !same_incarnation {
+            self.profile_version += 1;
+            self.expedite_heartbeat(now);
         }
     }
 
-    /// Takes the loss of the backend server: a node without one holds nothing.
-    pub(in crate::ownership::machine) fn lose_server(&mut self, now: Moment, out: &mut Outbox) {
+    /// Handles the loss of the backend server: a node without one holds no leases.
+    pub(in crate::ownership::machine) fn handle_server_lost(
+        &mut self,
+        now: Moment,
+        out: &mut Outbox,
+    ) {
         if self.server.take().is_none() {
             return;
         }
-        self.forget_all(out);
-        self.profile += 1;
-        self.hurry(now);
+        self.drop_all_leases(out);
+        self.profile_version += 1;
+        self.expedite_heartbeat(now);
     }
 
-    fn forget_all(&mut self, out: &mut Outbox) {
+    fn drop_all_leases(&mut self, out: &mut Outbox) {
         let held = |(slice, lease): (&_, &super::HeldLease)| (Clone::clone(slice), lease.fence);
         let all: Vec<_> = self.leases.iter().map(held).collect();
         for (slice, fence) in all {
-            self.forget(&slice, fence, LapseReason::ServerLost, out);
+            self.drop_lease(&slice, fence, LapseReason::ServerLost, out);
         }
     }
 }
--- a/crates/core/src/ownership/machine/messages.rs
+++ b/crates/core/src/ownership/machine/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of other nodes.
+//! Handling of messages from peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 use crate::time::Moment;
 
 impl Ownership {
-    pub(super) fn take_message(
+    pub(super) fn handle_message(
         &mut self,
         now: Moment,
         from: SocketAddr,
@@ -32,15 +32,21 @@
         out: &mut Outbox,
     ) {
         match message {
-            PeerMessage::ControllerAnnouncement(lead) => self.take_lead(now, *lead, out),
-            PeerMessage::Heartbeat(heartbeat) => self.take_heartbeat(now, heartbeat, out),
-            PeerMessage::Answer(answer) => self.take_answer(now, *answer, out),
+            PeerMessage::ControllerAnnouncement(announcement) => {
+                self.handle_controller_announcement(now, *announcement, out)
+            }
+            PeerMessage::Heartbeat(heartbeat) => self.handle_heartbeat(now, heartbeat, out),
+            PeerMessage::Answer(answer) => self.handle_answer(now, *answer, out),
             PeerMessage::Acknowledgement(acknowledgement) => {
-                self.take_acknowledgement(&acknowledgement, out);
+                self.handle_acknowledgement(&acknowledgement, out);
+            }
+            PeerMessage::ControllerQuery(query) => {
+                self.handle_controller_query(now, from, &query, out)
             }
-            PeerMessage::ControllerQuery(inquiry) => self.take_inquiry(now, from, &inquiry, out),
-            PeerMessage::ControllerStatus(notice) => self.take_notice(now, *notice, out),
-            PeerMessage::Routing(delta) => self.take_routing(&delta, out),
+            PeerMessage::ControllerStatus(status) => {
+                self.handle_controller_status(now, *status, out)
+            }
+            PeerMessage::Routing(delta) => self.apply_routing_delta(&delta, out),
             PeerMessage::Probe(probe) => {
                 let node = self.config.member.node.clone();
                 let probe_sent = probe.sent_at;
@@ -48,57 +54,63 @@
                 out.send(probe.reply_to, PeerMessage::Echo(echo));
             }
             PeerMessage::Echo(echo) => {
-                self.reach
-                    .note_echo(now, echo.node, Moment(echo.probe_sent));
+                self.reachability
+                    .record_echo(now, echo.node, Moment(echo.probe_sent));
             }
             PeerMessage::Resign(ballot) => {
                 if ballot == self.voter.adopted() {
-                    self.voter.forget_controller();
+                    self.voter.record_resignation();
                 }
             }
         }
     }
 
-    /// Follows a controller unless a higher one is known, and acknowledges it.
-    fn take_lead(&mut self, now: Moment, lead: ControllerAnnouncement, out: &mut Outbox) {
-        // A restarted voter has forgotten what it adopted, but the log still says which term was
-        // established; acknowledging an older one could revive a controller that was replaced.
+    /// Adopts a controller's ballot unless a higher one is known, and acknowledges its round.
+    fn handle_controller_announcement(
+        &mut self,
+        now: Moment,
+        announcement: ControllerAnnouncement,
+        out: &mut Outbox,
+    ) {
+        // A restarted voter has lost the ballot it adopted, but the log still tells which term was
+        // established. Acknowledging an older term could bring back a controller that was replaced.
         if self
-            .established_in_log()
-            .is_some_and(|term| lead.ballot.term < term)
+            .established_term()
+            .is_some_and(|term| announcement.ballot.term < term)
         {
             return;
         }
-        let introduced = lead.term.is_some();
-        self.follow(now, lead.ballot, lead.term, out);
-        if lead.ballot != self.voter.adopted() {
+        let carries_term = announcement.term.is_some();
+        self.adopt_ballot(now, announcement.ballot, announcement.term, out);
+        if announcement.ballot != self.voter.adopted() {
             return;
         }
-        self.voter.hear(now, lead.round);
-        if introduced {
-            self.holder.introduce(now);
+        self.voter.record_round(now, announcement.round);
+        if carries_term {
+            self.holder.schedule_report(now);
         }
-        if lead.request_heartbeat {
-            self.holder.hurry(now);
+        if announcement.request_heartbeat {
+            self.holder.expedite_heartbeat(now);
         }
-        self.acknowledge(now, lead.round, out);
+        self.acknowledge(now, announcement.round, out);
     }
 
-    fn take_answer(&mut self, now: Moment, answer: Answer, out: &mut Outbox) {
-        // An older controller may still answer a heartbeat that it got before this node adopted
-        // another; its renewal would outlast what this node has reported to the new one.
+    fn handle_answer(&mut self, now: Moment, answer: Answer, out: &mut Outbox) {
+        // An older controller may still answer a heartbeat that it received before this node
+        // adopted another ballot. Its renewal would last longer than the lease reported to the new
+        // one.
         if answer.ballot != self.voter.adopted() && self.config.rules.void_heartbeats {
             return;
         }
-        self.voter.hear(now, answer.round);
+        self.voter.record_round(now, answer.round);
         self.holder
-            .take_answer(now, self.voter.times(), &answer, out);
-        if let Some(news) = &answer.updates {
-            self.told_intent = self
-                .told_intent
-                .max(news.intent_version.unwrap_or_default());
-            if let Some(delta) = &news.routing {
-                self.take_routing(delta, out);
+            .handle_answer(now, self.voter.times(), &answer, out);
+        if let Some(updates) = &answer.updates {
+            self.announced_intent = self
+                .announced_intent
+                .max(updates.intent_version.unwrap_or_default());
+            if let Some(delta) = &updates.routing {
+                self.apply_routing_delta(delta, out);
             }
         }
         if self.is_voter() {
@@ -106,7 +118,7 @@
         }
     }
 
-    fn take_heartbeat(&mut self, now: Moment, heartbeat: Box<Heartbeat>, out: &mut Outbox) {
+    fn handle_heartbeat(&mut self, now: Moment, heartbeat: Box<Heartbeat>, out: &mut Outbox) {
         let Some(ballot) = self.controller.as_ref().map(|known| known.ballot()) else {
             return;
         };
@@ -114,7 +126,7 @@
             self.stand_down(StandDownReason::Superseded, out);
             return;
         }
-        let (controller, context) = self.parts(now);
+        let (controller, context) = self.controller_and_context(now);
         let Some(controller) = controller else {
             return;
         };
@@ -125,7 +137,7 @@
         controller.handle_heartbeat(&context, heartbeat, out);
     }
 
-    fn take_acknowledgement(&mut self, message: &Acknowledgement, out: &mut Outbox) {
+    fn handle_acknowledgement(&mut self, message: &Acknowledgement, out: &mut Outbox) {
         let Some(controller) = &mut self.controller else {
             return;
         };
@@ -136,37 +148,42 @@
         }
     }
 
-    fn take_inquiry(
+    fn handle_controller_query(
         &mut self,
         now: Moment,
         from: SocketAddr,
-        inquiry: &ControllerQuery,
+        query: &ControllerQuery,
         out: &mut Outbox,
     ) {
-        if self.voter.is_own(&inquiry.node) {
+        if self.voter.is_own_name(&query.node) {
             return;
         }
-        let heard = self.voter.last_heard();
-        let silence = heard.map(|heard| now.since(heard));
+        let last_received = self.voter.last_received();
+        let silence = last_received.map(|received| now.since(received));
         let stale = silence.is_none_or(|silence| silence > self.voter.times().lease());
         let Some(term) = self.voter.term().filter(|_| !stale) else {
             return;
         };
-        let notice = ControllerStatus {
+        let status = ControllerStatus {
             rank: self.voter.adopted().rank,
             term: term.as_ref().clone(),
         };
-        out.send(from, PeerMessage::ControllerStatus(Box::new(notice)));
+        out.send(from, PeerMessage::ControllerStatus(Box::new(status)));
     }
 
-    /// Learns of a controller from another node. Adopting it on hearsay only raises what this node
-    /// refuses, so it is as safe as hearing the controller itself.
-    fn take_notice(&mut self, now: Moment, notice: ControllerStatus, out: &mut Outbox) {
-        let ballot = notice.term.ballot(notice.rank);
-        self.follow(now, ballot, Some(notice.term), out);
+    /// Adopts a controller that a peer follows. An adopted ballot only makes this node refuse lower
+    /// ones, so this is as safe as adopting it from the controller itself.
+    fn handle_controller_status(
+        &mut self,
+        now: Moment,
+        status: ControllerStatus,
+        out: &mut Outbox,
+    ) {
+        let ballot = status.term.ballot(status.rank);
+        self.adopt_ballot(now, ballot, Some(status.term), out);
     }
 
-    fn take_routing(&mut self, delta: &RoutingDelta, out: &mut Outbox) {
+    fn apply_routing_delta(&mut self, delta: &RoutingDelta, out: &mut Outbox) {
         if self.routing.apply(delta) {
             let table = self.routing.table().clone();
             out.push(OwnershipAction::PublishRouting(Arc::new(table)));
@@ -174,7 +191,7 @@
     }
 
     /// Adopts a ballot if it is higher than the adopted one and its term is known.
-    pub(super) fn follow(
+    pub(super) fn adopt_ballot(
         &mut self,
         now: Moment,
         ballot: Ballot,
@@ -190,7 +207,7 @@
         if term.term() != ballot.term || !self.voter.adopt(now, ballot, term) {
             return;
         }
-        self.holder.follow(now);
+        self.holder.handle_new_controller(now);
         if let Some(controller) = self.voter.controller() {
             out.explain(Happening::ControllerAdopted {
                 term: ballot.term,
@@ -227,25 +244,28 @@
         adopted.cloned().or_else(|| logged.cloned().map(Arc::new))
     }
 
-    fn established_in_log(&self) -> Option<Term> {
+    fn established_term(&self) -> Option<Term> {
         let state = self.log.term().filter(|state| state.established)?;
         Some(state.term())
     }
 
-    /// Tells whether the adopted term counts this node's acknowledgements.
+    /// Tells whether this node is in a voter set of the adopted term.
     pub(super) fn is_voter(&self) -> bool {
         let own = &self.config.member.node;
         let term = self.voter.term();
         term.is_some_and(|term| term.voter_sets().iter().flatten().any(|voter| voter == own))
     }
 
-    /// Splits the node into its controller and what that reads.
-    pub(super) fn parts(&mut self, now: Moment) -> (Option<&mut super::Controller>, Context<'_>) {
+    /// Returns the controller, if this node is one, with the state that it reads.
+    pub(super) fn controller_and_context(
+        &mut self,
+        now: Moment,
+    ) -> (Option<&mut super::Controller>, Context<'_>) {
         let context = Context {
             now,
             own: &self.config.member,
             rules: self.config.rules,
-            leaving: self.leaving.is_some(),
+            leaving: self.leaving_since.is_some(),
             intent: self.intent.as_deref(),
             log: &self.log,
             routing: self.routing.table(),
--- a/crates/core/src/ownership/machine/mod.rs
+++ b/crates/core/src/ownership/machine/mod.rs
@@ -1,24 +1,24 @@
-//! The state machine of one node.
+//! The ownership state machine of one node.
 
 mod appender;
 mod claiming;
 mod context;
 mod control_log;
 mod controller;
+mod controller_role;
 mod divisions;
 mod events;
 mod holder;
 mod leaving;
 mod messages;
-mod office;
+mod new_claim;
 mod outbox;
-mod outlook;
 mod pending_append;
-mod reach;
+mod queries;
+mod reachability;
 mod record_kind;
 mod routing_replica;
 mod search;
-mod succession;
 mod voter;
 
 use appender::Appender;
@@ -26,18 +26,18 @@
 use control_log::ControlLog;
 use controller::Controller;
 use divisions::Divisions;
+use holder::HeartbeatContext;
 use holder::Holder;
-use holder::Voice;
+use new_claim::MAX_VOTERS;
+use new_claim::build_claim;
+use new_claim::choose_voters;
+use new_claim::interleave_zones;
 use outbox::Outbox;
 use pending_append::PendingAppend;
-use reach::Reach;
+use reachability::Reachability;
 use record_kind::RecordKind;
 use routing_replica::RoutingReplica;
 use search::Search;
-use succession::MAX_VOTERS;
-use succession::build_claim;
-use succession::choose_voters;
-use succession::interleave_zones;
 use voter::Voter;
 
 use std::sync::Arc;
@@ -54,9 +54,9 @@
 use crate::intent::InForce;
 use crate::time::Moment;
 
-/// Decides for one node who owns what; see `docs/design/ownership.md`.
+/// Decides slice ownership on one node; see `docs/design/ownership.md`.
 ///
-/// It is at once the voter, the holder and, when its turn comes, the controller of its node.
+/// It combines the node's roles: voter, holder of leases and, at times, controller.
 #[derive(Debug)]
 pub struct Ownership {
     config: OwnershipConfig,
@@ -66,20 +66,21 @@
     holder: Holder,
     appender: Appender,
     controller: Option<Controller>,
-    /// The highest ballot under which this life has acted; it never acts under it again.
-    acted: Ballot,
+    /// The highest ballot under which this incarnation has acted as controller. It never acts under
+    /// that ballot again.
+    last_acted: Ballot,
     intent: Option<Arc<InForce>>,
     routing: RoutingReplica,
     search: Search,
-    reach: Reach,
-    /// The highest version of the intent that a controller told of.
-    told_intent: Version,
-    leaving: Option<Moment>,
+    reachability: Reachability,
+    /// The highest version of the intent that a controller has announced.
+    announced_intent: Version,
+    leaving_since: Option<Moment>,
     finished: bool,
 }
 
 impl Ownership {
-    /// Opens the state of a node that holds nothing and knows nothing.
+    /// Creates the state of a node without leases or knowledge of other nodes.
     pub fn open(mut config: OwnershipConfig) -> Self {
         config.member.server = None;
         config.member.service = None;
@@ -90,44 +91,44 @@
             holder: Holder::open(config.member.clone(), config.rules),
             appender: Appender::default(),
             controller: None,
-            acted: Ballot::default(),
+            last_acted: Ballot::default(),
             intent: None,
             routing: RoutingReplica::default(),
             search: Search::default(),
-            reach: Reach::default(),
-            told_intent: Version::default(),
-            leaving: None,
+            reachability: Reachability::default(),
+            announced_intent: Version::default(),
+            leaving_since: None,
             finished: false,
             config,
         }
     }
 
-    /// Takes one event at `now` and returns what is to be done, in order.
+    /// Handles one event at `now` and returns the actions to perform, in order.
     pub fn step(&mut self, now: Moment, event: OwnershipEvent) -> Vec<OwnershipAction> {
         let mut out = Outbox::open(self.config.member.heartbeat);
-        self.voter.begin(now);
+        self.voter.record_start(now);
         self.holder.expire(now, &mut out);
-        self.take_event(now, event, &mut out);
+        self.handle_event(now, event, &mut out);
         self.advance(now, &mut out);
-        while let Some(message) = out.take_local() {
+        while let Some(message) = out.pop_local() {
             let from = self.config.member.heartbeat;
-            self.take_message(now, from, message, &mut out);
+            self.handle_message(now, from, message, &mut out);
         }
         self.holder.publish(&mut out);
         out.into_actions()
     }
 
     fn advance(&mut self, now: Moment, out: &mut Outbox) {
-        self.take_office(now, out);
+        self.try_become_controller(now, out);
         self.run_controller(now, out);
         self.search_controller(now, out);
         self.appender.retry(now, &self.log, out);
         self.send_heartbeat(now, out);
-        self.finish_leaving(now, out);
+        self.try_finish_leaving(now, out);
     }
 
     fn send_heartbeat(&mut self, now: Moment, out: &mut Outbox) {
-        if !self.holder.is_due(now) {
+        if !self.holder.is_heartbeat_due(now) {
             return;
         }
         let Some(controller) = self.voter.controller() else {
@@ -135,13 +136,15 @@
         };
         let to = controller.heartbeat;
         let round = self.voter.round();
-        let voice = Voice {
+        let context = HeartbeatContext {
             ballot: self.voter.adopted(),
-            round: (round > 0 && !self.voter.abstains(now)).then_some(round),
-            heard: round,
+            acked: (round > 0 && !self.voter.abstains(now)).then_some(round),
+            round,
             routing: self.routing.table().version,
         };
-        let heartbeat = self.holder.beat(now, self.voter.times(), voice);
+        let heartbeat = self
+            .holder
+            .build_heartbeat(now, self.voter.times(), context);
         out.send(to, PeerMessage::Heartbeat(Box::new(heartbeat)));
     }
 }
--- a/crates/core/src/ownership/machine/succession.rs
+++ b/crates/core/src/ownership/machine/new_claim.rs
@@ -1,4 +1,4 @@
-//! The content of a claim.
+//! The contents of a new claim.
 
 use std::collections::BTreeMap;
 
@@ -8,30 +8,30 @@
 use crate::ids::ZoneName;
 use crate::ownership::record::Claim;
 
-/// How many voters a term has at most; more would cost datagrams and add little tolerance.
+/// How many voters a term has at most; more would cost datagrams and add little fault tolerance.
 pub(super) const MAX_VOTERS: usize = 15;
-/// How many deputies stand in line.
-const DEPUTIES: usize = 4;
+/// How many deputies a term has at most.
+const MAX_DEPUTIES: usize = 4;
 
-/// Composes the claim of the next term. `candidates` are the nodes believed to live, in service;
-/// `members` is every known node.
+/// Builds the claim of the next term. `candidates` are the nodes in service that are believed to be
+/// alive; `members` are all known nodes.
 pub(super) fn build_claim(
     context: &Context<'_>,
     candidates: Vec<Member>,
     members: Vec<Member>,
     divisions: &Divisions,
 ) -> Claim {
-    let (term, base) = context.log.next_term();
+    let (term, predecessor) = context.log.next_term();
     let mut ordered = interleave_zones(candidates);
     if ordered.is_empty() {
         ordered.push(context.own.clone());
     }
-    let line = compose_line(context, &ordered);
+    let controllers = choose_controllers(context, &ordered);
     Claim {
         term,
-        predecessor: base,
+        predecessor,
         next_offset: context.log.next_offset(),
-        controllers: line,
+        controllers,
         voters: choose_voters(ordered),
         members,
         divisions: divisions.named_in(context),
@@ -39,7 +39,7 @@
     }
 }
 
-/// Chooses an odd count of voters, so that an even split of the zones leaves a majority.
+/// Chooses an odd number of voters, so that an even split of the zones leaves a majority.
 pub(super) fn choose_voters(mut ordered: Vec<Member>) -> Vec<Member> {
     ordered.truncate(MAX_VOTERS);
     if ordered.len().is_multiple_of(2) {
@@ -49,7 +49,7 @@
     ordered
 }
 
-/// Orders members so that each run takes one of every zone.
+/// Orders members round-robin by availability zone.
 pub(super) fn interleave_zones(mut members: Vec<Member>) -> Vec<Member> {
     members.sort();
     let mut rows: BTreeMap<ZoneName, usize> = BTreeMap::new();
@@ -64,7 +64,9 @@
     placed.into_iter().map(|(_, member)| member).collect()
 }
 
-fn compose_line(context: &Context<'_>, ordered: &[Member]) -> Vec<Member> {
+/// Chooses the controller and its deputies in order of rank. The controller is this node if it is a
+/// candidate and not leaving; deputies in other zones come first.
+fn choose_controllers(context: &Context<'_>, ordered: &[Member]) -> Vec<Member> {
     let own = ordered
         .iter()
         .find(|member| member.node == context.own.node);
@@ -77,7 +79,7 @@
         .filter(|member| member.node != controller.node)
         .collect();
     deputies.sort_by_key(|member| member.zone == controller.zone);
-    let mut line = vec![controller.clone()];
-    line.extend(deputies.into_iter().take(DEPUTIES).cloned());
-    line
+    let mut controllers = vec![controller.clone()];
+    controllers.extend(deputies.into_iter().take(MAX_DEPUTIES).cloned());
+    controllers
 }
--- a/crates/core/src/ownership/machine/outbox.rs
+++ b/crates/core/src/ownership/machine/outbox.rs
@@ -1,4 +1,4 @@
-//! What one step asks for.
+//! The actions of one step.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -7,19 +7,19 @@
 use crate::ownership::OwnershipAction;
 use crate::ownership::PeerMessage;
 
-/// Collects the actions of one step. A message to the node itself does not leave it: it is handed
-/// back before the step ends.
+/// Collects the actions of one step. A message to the node itself is not sent but handled before
+/// the step ends.
 #[derive(Debug)]
 pub(super) struct Outbox {
-    own: SocketAddr,
+    own_address: SocketAddr,
     actions: Vec<OwnershipAction>,
     local: VecDeque<PeerMessage>,
 }
 
 impl Outbox {
-    pub(super) fn open(own: SocketAddr) -> Self {
+    pub(super) fn open(own_address: SocketAddr) -> Self {
         Self {
-            own,
+            own_address,
             actions: Vec::new(),
             local: VecDeque::new(),
         }
@@ -30,7 +30,7 @@
     }
 
     pub(super) fn send(&mut self, to: SocketAddr, message: PeerMessage) {
-        if to == self.own {
+        if to == self.own_address {
             self.local.push_back(message);
         } else {
             self.actions.push(OwnershipAction::Send { to, message });
@@ -41,7 +41,7 @@
         self.actions.push(OwnershipAction::Explain(happening));
     }
 
-    pub(super) fn take_local(&mut self) -> Option<PeerMessage> {
+    pub(super) fn pop_local(&mut self) -> Option<PeerMessage> {
         self.local.pop_front()
     }
 
--- a/crates/core/src/ownership/machine/outlook.rs
+++ b/crates/core/src/ownership/machine/queries.rs
@@ -1,4 +1,4 @@
-//! What the rest of the node may ask of the state.
+//! Read access to the ownership state.
 
 use super::Ownership;
 use crate::cluster::Member;
@@ -7,12 +7,12 @@
 use crate::time::Moment;
 
 impl Ownership {
-    /// Returns the ballot of the controller that the node adopted last.
+    /// Returns the ballot that this node has adopted.
     pub fn adopted_ballot(&self) -> Ballot {
         self.voter.adopted()
     }
 
-    /// Returns the controller that the node follows, if it knows one.
+    /// Returns the controller that this node follows, if any.
     pub fn followed_controller(&self) -> Option<&Member> {
         self.voter.controller()
     }
@@ -22,35 +22,35 @@
         self.controller.is_some()
     }
 
-    /// Returns the controller and its deputies, who always follow the log.
+    /// Returns the controller and its deputies, which always read the log.
     pub fn log_readers(&self) -> &[Member] {
         self.voter
             .term()
             .map_or(&[], |term| &term.claim.controllers)
     }
 
-    /// Returns the highest version of the intent that a controller told of.
+    /// Returns the highest version of the intent that a controller has announced.
     pub fn announced_intent(&self) -> Version {
-        self.told_intent
+        self.announced_intent
     }
 
-    /// Tells whether this node must follow the control stream itself: when its term names it, and
-    /// while it hears no controller.
+    /// Tells whether this node must read the control stream itself: as a voter, as controller or
+    /// deputy, and while it has no live controller.
     ///
-    /// Any other node may stop. It has adopted a ballot and acknowledges no lower one, so the log
-    /// can tell it nothing about terms that it must not miss; and as soon as the controller falls
-    /// silent it reads on from where it stopped.
+    /// Any other node may stop reading. It acknowledges no ballot lower than the one it adopted, so
+    /// it needs no newer term from the log, and it continues where it stopped as soon as the
+    /// controller is silent.
     pub fn needs_control_stream(&self, now: Moment) -> bool {
         self.is_voter() || self.needs_intent_stream(now)
     }
 
-    /// Tells whether this node must follow the intent stream itself: as controller or deputy, and
-    /// while it hears no controller that would tell it of newer intent.
+    /// Tells whether this node must read the intent stream itself: as controller or deputy, and
+    /// while it has no live controller that would announce newer intent.
     pub fn needs_intent_stream(&self, now: Moment) -> bool {
-        self.is_in_line() || !self.hears_controller(now)
+        self.has_rank() || !self.has_live_controller(now)
     }
 
-    fn is_in_line(&self) -> bool {
+    fn has_rank(&self) -> bool {
         let own = &self.config.member;
         let term = self.voter.term();
         term.is_some_and(|term| term.rank_of(&own.node, own.incarnation).is_some())
--- a/crates/core/src/ownership/machine/record_kind.rs
+++ b/crates/core/src/ownership/machine/record_kind.rs
@@ -1,6 +1,6 @@
-//! What a record is for.
+//! The kinds of control records.
 
-/// Names the kinds of records that a node appends to the control stream.
+/// The kind of a record that a node appends to the control stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RecordKind {
     Join,
--- a/crates/core/src/ownership/machine/routing_replica.rs
+++ b/crates/core/src/ownership/machine/routing_replica.rs
@@ -1,4 +1,4 @@
-//! The routing table as a node has it.
+//! A node's copy of the routing table.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use crate::ownership::message::RoutingChange;
 use crate::ownership::message::RoutingDelta;
 
-/// Follows the controller's routing table by its changes.
+/// Replicates the controller's routing table by applying its changes.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RoutingReplica {
     nodes: BTreeMap<u32, NodeName>,
@@ -22,8 +22,8 @@
         &self.table
     }
 
-    /// Takes a delta and tells whether it made the table newer. One that skips changes this node
-    /// has not seen is left out; the next heartbeat asks for them.
+    /// Applies a delta and tells whether it made the table newer. A delta is ignored if changes
+    /// before it are missing; the controller sends them in answer to the next heartbeat.
     pub(super) fn apply(&mut self, delta: &RoutingDelta) -> bool {
         if delta.version <= self.table.version {
             return false;
@@ -42,7 +42,7 @@
         true
     }
 
-    /// Applies one change; doing so twice does no harm.
+    /// Applies one change; applying it twice has the same effect.
     pub(super) fn apply_change(&mut self, change: &RoutingChange) {
         match change {
             RoutingChange::NodeUpdated { number, node } => {
--- a/crates/core/src/ownership/machine/search.rs
+++ b/crates/core/src/ownership/machine/search.rs
@@ -18,68 +18,68 @@
 use crate::ownership::record::TermState;
 use crate::time::Moment;
 
-/// How often other nodes are asked for the controller.
-const INQUIRY_PERIOD: Duration = Duration::from_millis(300);
-/// How many nodes are asked each time.
-const ASKED_NODES: usize = 3;
-/// The shortest span over which the joins of a starting fleet are spread.
-const JOIN_SPREAD: Duration = Duration::from_millis(300);
-/// What each backend server that the document expects adds to that span: the log takes several
-/// hundred appends a second, and a hundred joins a second leave room for all else.
-const JOIN_SPACE: Duration = Duration::from_millis(10);
-/// How long a node with no controller waits before it joins again.
+/// How often peers are asked for the controller.
+const QUERY_PERIOD: Duration = Duration::from_millis(300);
+/// How many peers are asked each time.
+const QUERIED_NODES: usize = 3;
+/// The shortest window over which the joins of a starting cluster are spread.
+const MIN_JOIN_WINDOW: Duration = Duration::from_millis(300);
+/// How much each backend server in the document adds to that window. The log accepts several
+/// hundred appends a second, so a hundred joins a second leave room for other records.
+const JOIN_WINDOW_PER_SERVER: Duration = Duration::from_millis(10);
+/// How long a node without a controller waits before it appends another join.
 const JOIN_PERIOD: Duration = Duration::from_millis(10_000);
 
-/// Remembers what a node without a controller has tried.
+/// Tracks the attempts of a node without a controller to find or become one.
 #[derive(Debug, Default)]
 pub(super) struct Search {
-    pub(super) since: Option<Moment>,
-    asked: Option<Moment>,
-    /// This node's place in the span over which joins are spread, from 0 to 1.
-    join_place: Option<f64>,
-    joined: Option<Moment>,
+    pub(super) started_at: Option<Moment>,
+    last_query: Option<Moment>,
+    /// This node's position in the window over which joins are spread, from 0 to 1.
+    join_fraction: Option<f64>,
+    last_join: Option<Moment>,
     pub(super) claim_at: Option<Moment>,
-    pub(super) claims: u32,
-    pub(super) claim_seen: Option<Moment>,
+    pub(super) claim_count: u32,
+    pub(super) claim_won_at: Option<Moment>,
 }
 
 impl Search {
-    /// Notes that a claim won a term, whose controller needs time to show itself.
-    pub(super) fn note_claim(&mut self, now: Moment) {
-        self.claim_seen = Some(now);
+    /// Records that a claim won a term, whose controller needs time to send its first message.
+    pub(super) fn record_won_claim(&mut self, now: Moment) {
+        self.claim_won_at = Some(now);
         self.claim_at = None;
     }
 
-    fn end(&mut self) {
-        let claim_seen = self.claim_seen;
+    fn reset(&mut self) {
+        let claim_won_at = self.claim_won_at;
         *self = Self {
-            claim_seen,
+            claim_won_at,
             ..Self::default()
         };
     }
 }
 
 impl Ownership {
-    /// Looks for a controller while none is heard: asks other nodes, joins through the log, and in
-    /// the end claims the next term.
+    /// Searches for a controller while there is no live one: asks peers, joins through the log and
+    /// finally claims the next term.
     pub(super) fn search_controller(&mut self, now: Moment, out: &mut Outbox) {
-        if self.hears_controller(now) {
-            self.search.end();
+        if self.has_live_controller(now) {
+            self.search.reset();
             self.appender.cancel(RecordKind::Join);
             if self.controller.is_none() {
                 self.appender.cancel(RecordKind::Claim);
             }
             return;
         }
-        self.search.since.get_or_insert(now);
-        self.ask_nodes(now, out);
-        if self.log.is_current() && self.leaving.is_none() {
-            self.join_cell(now, out);
-            self.claim_term(now, out);
+        self.search.started_at.get_or_insert(now);
+        self.query_nodes(now, out);
+        if self.log.is_current() && self.leaving_since.is_none() {
+            self.append_join(now, out);
+            self.try_claim_term(now, out);
         }
     }
 
-    pub(super) fn hears_controller(&self, now: Moment) -> bool {
+    pub(super) fn has_live_controller(&self, now: Moment) -> bool {
         if self
             .controller
             .as_ref()
@@ -87,19 +87,20 @@
         {
             return true;
         }
-        let silence = self.voter.last_heard().map(|heard| now.since(heard));
+        let last_received = self.voter.last_received();
+        let silence = last_received.map(|received| now.since(received));
         silence.is_some_and(|silence| silence < self.voter.times().lease() / 2)
     }
 
-    fn ask_nodes(&mut self, now: Moment, out: &mut Outbox) {
+    fn query_nodes(&mut self, now: Moment, out: &mut Outbox) {
         let due = self
             .search
-            .asked
-            .is_none_or(|asked| now.since(asked) >= INQUIRY_PERIOD);
+            .last_query
+            .is_none_or(|last| now.since(last) >= QUERY_PERIOD);
         if !due {
             return;
         }
-        self.search.asked = Some(now);
+        self.search.last_query = Some(now);
         let own = self.config.member.heartbeat;
         let mut known: Vec<SocketAddr> = self
             .known_members()
@@ -108,40 +109,40 @@
             .chain(self.config.peers.iter().copied())
             .filter(|address| *address != own)
             .collect();
-        for _ in 0..ASKED_NODES.min(known.len()) {
+        for _ in 0..QUERIED_NODES.min(known.len()) {
             let at = self.rng.random_range(0..known.len());
-            let inquiry = ControllerQuery {
+            let query = ControllerQuery {
                 node: self.config.member.node.clone(),
                 incarnation: self.config.member.incarnation,
             };
-            out.send(known.swap_remove(at), PeerMessage::ControllerQuery(inquiry));
+            out.send(known.swap_remove(at), PeerMessage::ControllerQuery(query));
         }
     }
 
-    fn join_cell(&mut self, now: Moment, out: &mut Outbox) {
+    fn append_join(&mut self, now: Moment, out: &mut Outbox) {
         let drawn = self.rng.random::<f64>();
-        let place = *self.search.join_place.get_or_insert(drawn);
-        let since = self.search.since.unwrap_or(now);
-        let due = match self.search.joined {
-            Some(joined) => joined + JOIN_PERIOD,
-            None => since + self.join_spread().mul_f64(place),
+        let fraction = *self.search.join_fraction.get_or_insert(drawn);
+        let since = self.search.started_at.unwrap_or(now);
+        let due = match self.search.last_join {
+            Some(last) => last + JOIN_PERIOD,
+            None => since + self.join_window().mul_f64(fraction),
         };
-        if due > now || self.appender.has(RecordKind::Join) {
+        if due > now || self.appender.has_pending(RecordKind::Join) {
             return;
         }
-        self.search.joined = Some(now);
+        self.search.last_join = Some(now);
         let member = self.holder.member();
-        self.append(now, RecordKind::Join, ControlBody::Join(member), out);
+        self.append_record(now, RecordKind::Join, ControlBody::Join(member), out);
     }
 
-    /// Returns the span over which the joins of all nodes are spread. Without it a fleet that
-    /// starts at once would append faster than the log takes, and records of operators would wait
-    /// behind joins. A node that hears a controller before its turn needs no join.
-    fn join_spread(&self) -> Duration {
-        JOIN_SPREAD.max(JOIN_SPACE * self.expected_servers().unwrap_or_default())
+    /// Returns the window over which the joins of all nodes are spread. Without it a cluster whose
+    /// nodes start at once would append faster than the log accepts, and operators' records would
+    /// wait behind joins. A node that finds a controller before its join is due needs none.
+    fn join_window(&self) -> Duration {
+        MIN_JOIN_WINDOW.max(JOIN_WINDOW_PER_SERVER * self.expected_servers().unwrap_or_default())
     }
 
-    /// Returns how many backend servers the document names, once it is known.
+    /// Returns the number of backend servers in the document, once it is known.
     pub(super) fn expected_servers(&self) -> Option<u32> {
         let document = &self.intent.as_ref()?.document;
         Some(
@@ -161,7 +162,7 @@
         both.max_by_key(|term| term.term())
     }
 
-    /// Returns every node this one knows, each in its latest known life.
+    /// Returns every known node in its latest known incarnation.
     pub(super) fn known_members(&self) -> Vec<Member> {
         let mut members: BTreeMap<NodeName, Member> = BTreeMap::new();
         let adopted = self.voter.term().into_iter();
@@ -185,7 +186,7 @@
         members.into_values().collect()
     }
 
-    pub(super) fn jitter(&mut self, most: Duration) -> Duration {
-        most.mul_f64(self.rng.random::<f64>())
+    pub(super) fn jitter(&mut self, max: Duration) -> Duration {
+        max.mul_f64(self.rng.random::<f64>())
     }
 }
--- a/crates/core/src/ownership/machine/voter.rs
+++ b/crates/core/src/ownership/machine/voter.rs
@@ -1,4 +1,4 @@
-//! Which controller a node follows.
+//! The voter of a node, which adopts controllers' ballots.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,16 +11,16 @@
 use crate::ownership::record::TermState;
 use crate::time::Moment;
 
-/// Remembers the highest ballot this life of the node adopted. It never goes back, so two
-/// controllers never have a majority of the same voters at once.
+/// Remembers the highest ballot that this incarnation of the node has adopted. The ballot never
+/// decreases, so two controllers never have a majority of the same voters at once.
 #[derive(Debug)]
 pub(super) struct Voter {
     own: Member,
     rules: SafetyRules,
-    opened: Option<Moment>,
+    started_at: Option<Moment>,
     adopted: Ballot,
     term: Option<Arc<TermState>>,
-    heard: Option<Moment>,
+    last_received: Option<Moment>,
     round: u64,
 }
 
@@ -29,17 +29,17 @@
         Self {
             own,
             rules,
-            opened: None,
+            started_at: None,
             adopted: Ballot::default(),
             term: None,
-            heard: None,
+            last_received: None,
             round: 0,
         }
     }
 
-    /// Notes the time of the first event, from which abstention counts.
-    pub(super) fn begin(&mut self, now: Moment) {
-        self.opened.get_or_insert(now);
+    /// Records the time of the first event, from which abstention is counted.
+    pub(super) fn record_start(&mut self, now: Moment) {
+        self.started_at.get_or_insert(now);
     }
 
     pub(super) fn adopted(&self) -> Ballot {
@@ -61,9 +61,9 @@
         self.term.as_ref()?.member_at(self.adopted.rank)
     }
 
-    /// Returns when the adopted controller was last heard.
-    pub(super) fn last_heard(&self) -> Option<Moment> {
-        self.heard
+    /// Returns when the last message of the adopted controller was received.
+    pub(super) fn last_received(&self) -> Option<Moment> {
+        self.last_received
     }
 
     /// Returns the last round received from the adopted controller.
@@ -71,51 +71,51 @@
         self.round
     }
 
-    /// Adopts a ballot if it is higher than every one before, and tells whether it was.
+    /// Adopts a ballot if it is higher than the adopted one, and tells whether it did.
     pub(super) fn adopt(&mut self, now: Moment, ballot: Ballot, term: Arc<TermState>) -> bool {
         if ballot <= self.adopted || term.member_at(ballot.rank).is_none() {
             return false;
         }
         self.adopted = ballot;
         self.term = Some(term);
-        self.heard = Some(now);
+        self.last_received = Some(now);
         self.round = 0;
         true
     }
 
-    /// Notes a message of the adopted controller.
-    pub(super) fn hear(&mut self, now: Moment, round: u64) {
-        self.heard = Some(now);
+    /// Records a message of the adopted controller.
+    pub(super) fn record_round(&mut self, now: Moment, round: u64) {
+        self.last_received = Some(now);
         self.round = self.round.max(round);
     }
 
-    /// Takes the controller for silent, because it said that it leaves.
-    pub(super) fn forget_controller(&mut self) {
-        self.heard = None;
+    /// Treats the controller as silent, because it resigned.
+    pub(super) fn record_resignation(&mut self) {
+        self.last_received = None;
     }
 
     /// Tells whether the node must not acknowledge as a voter.
     ///
-    /// A restarted voter has forgotten what it adopted. If it acknowledged a lower ballot at once,
+    /// A restarted voter has lost the ballot it adopted. If it acknowledged a lower ballot at once,
     /// a controller that lost its majority to a higher one could regain it, and both would grant.
-    /// After two lease times the lower one has stood down. A life named as voter by the adopted
-    /// term began before that term was claimed, so no earlier life of it can have adopted a higher
-    /// term, and it need not wait.
+    /// After two lease times the lower one has stood down. An incarnation named as voter by the
+    /// adopted term started before that term was claimed, so no earlier incarnation can have
+    /// adopted a higher term, and it need not wait.
     pub(super) fn abstains(&self, now: Moment) -> bool {
-        if !self.rules.abstention || self.is_named() {
+        if !self.rules.abstention || self.is_named_voter() {
             return false;
         }
-        let waited = self.opened.map(|opened| now.since(opened));
-        waited.is_none_or(|waited| waited < self.longest_wait())
+        let waited = self.started_at.map(|started_at| now.since(started_at));
+        waited.is_none_or(|waited| waited < self.abstention_time())
     }
 
-    fn longest_wait(&self) -> Duration {
+    fn abstention_time(&self) -> Duration {
         let wait = self.term.as_ref().map(|term| term.unreported_wait);
         let wait = wait.unwrap_or_else(|| LeaseTimes::default().unreported_wait());
         wait.as_duration()
     }
 
-    fn is_named(&self) -> bool {
+    fn is_named_voter(&self) -> bool {
         let same = |member: &Member| {
             member.node == self.own.node && member.incarnation == self.own.incarnation
         };
@@ -123,8 +123,8 @@
         voters.is_some_and(|voters| voters.iter().any(same))
     }
 
-    /// Tells whether `node` is this node.
-    pub(super) fn is_own(&self, node: &NodeName) -> bool {
+    /// Tells whether `node` is the name of this node.
+    pub(super) fn is_own_name(&self, node: &NodeName) -> bool {
         self.own.node == *node
     }
 }
--- a/crates/core/src/ownership/message/mod.rs
+++ b/crates/core/src/ownership/message/mod.rs
@@ -41,7 +41,7 @@
 
 use super::Ballot;
 
-/// Is one datagram between nodes.
+/// A datagram between nodes.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum PeerMessage {
