--- a/crates/core/src/ownership/machine/events.rs
+++ b/crates/core/src/ownership/machine/events.rs
@@ -33,7 +33,7 @@
             OwnershipEvent::MessageReceived { from, message } => {
                 self.handle_message(now, from, message, out);
             }
-            OwnershipEvent::TrafficMeasured(measure) => self.holder.record_load(measure),
+            OwnershipEvent::TrafficMeasured(stats) => self.holder.record_load(stats),
             OwnershipEvent::ShutdownRequested => self.start_leaving(now),
             event => self.handle_server_event(now, event, out),
         }
--- a/crates/core/src/ownership/machine/holder/heartbeats.rs
+++ b/crates/core/src/ownership/machine/holder/heartbeats.rs
@@ -104,13 +104,13 @@
         if !due {
             return None;
         }
-        let measure = self.measured_load.as_ref()?;
+        let stats = self.measured_load.as_ref()?;
         self.last_load = Some(now);
         let rate = |slice: &SliceId| {
-            let found = measure.slices.iter().find(|load| load.slice == *slice);
+            let found = stats.slices.iter().find(|load| load.slice == *slice);
             found.map_or(0, |load| load.rate.round() as u32)
         };
-        let mut keys: Vec<KeyRate> = measure
+        let mut keys: Vec<KeyRate> = stats
             .keys
             .iter()
             .map(|load| KeyRate {
@@ -121,10 +121,10 @@
         keys.sort_by_key(|key| std::cmp::Reverse(key.rate));
         keys.truncate(MAX_HOT_KEYS);
         Some(LoadReport {
-            limit: measure.limit,
-            in_flight: measure.in_flight,
-            latency_us: measure.latency_us,
-            state: measure.state,
+            limit: stats.limit,
+            in_flight: stats.in_flight,
+            latency_us: stats.latency_us,
+            state: stats.state,
             rates: held.iter().map(|(slice, _)| rate(slice)).collect(),
             keys,
         })
--- a/crates/core/src/ownership/machine/holder/mod.rs
+++ b/crates/core/src/ownership/machine/holder/mod.rs
@@ -131,8 +131,8 @@
         self.next_heartbeat = self.next_heartbeat.min(now);
     }
 
-    pub(super) fn record_load(&mut self, measure: TrafficStats) {
-        self.measured_load = Some(measure);
+    pub(super) fn record_load(&mut self, stats: TrafficStats) {
+        self.measured_load = Some(stats);
     }
 
     pub(super) fn start_leaving(&mut self, now: Moment) {
--- a/crates/core/src/ownership/message/mod.rs
+++ b/crates/core/src/ownership/message/mod.rs
@@ -57,7 +57,7 @@
     ControllerQuery(ControllerQuery),
     /// A node replies with the controller that it follows.
     ControllerStatus(Box<ControllerStatus>),
-    /// The controller pushes a change of the routing table between two heartbeats.
+    /// The controller pushes changes to the routing table between two heartbeats.
     Routing(Box<RoutingDelta>),
     /// A controller resigns, so that the next deputy takes over without waiting.
     Resign(Ballot),
--- a/crates/core/src/ownership/message/routing_delta.rs
+++ b/crates/core/src/ownership/message/routing_delta.rs
@@ -1,4 +1,4 @@
-//! A batch of changes of the routing table.
+//! A batch of changes to the routing table.
 
 use serde::Deserialize;
 use serde::Serialize;
--- a/crates/core/src/ownership/message/updates.rs
+++ b/crates/core/src/ownership/message/updates.rs
@@ -13,6 +13,6 @@
     /// The version of the intent that the controller follows. It tells nodes that do not read the
     /// log that there is newer intent.
     pub intent_version: Option<Version>,
-    /// The changes of the routing table that the node lacks.
+    /// The changes to the routing table that the node lacks.
     pub routing: Option<RoutingDelta>,
 }
