--- a/crates/rack/src/control/key_calls.rs
+++ b/crates/rack/src/control/key_calls.rs
@@ -35,10 +35,10 @@
 
 /// Connections for calls about keys. Most calls follow one another; a release takes a connection for as
 /// long as work goes on, and others pass it.
-const LIMITS: PoolLimits = PoolLimits {
-    dial: Duration::from_millis(300),
-    idle: Duration::from_secs(6),
-    kept: 2,
+const POOL_LIMITS: PoolLimits = PoolLimits {
+    dial_timeout: Duration::from_millis(300),
+    idle_timeout: Duration::from_secs(6),
+    max_idle: 2,
 };
 /// How long the answer to a release is waited for; it comes when the work on the keys has ended. An
 /// answer that was lost on the way costs this.
@@ -61,7 +61,7 @@
     ) -> Self {
         Self {
             // The server is on the same host.
-            pool: Pool::new(LIMITS, None),
+            pool: Pool::new(POOL_LIMITS, None),
             times,
             events,
             metrics,
@@ -128,7 +128,9 @@
             sent.set(Some((now, time)));
             Some(addressed(grant_request(&range, time), address))
         };
-        let exchange = self.pool.exchange_late(address, Some(heartbeat_at), make);
+        let exchange = self
+            .pool
+            .exchange_deferred(address, Some(heartbeat_at), make);
         // Dropped at its limit, the call's connection is closed.
         let ended = tokio::time::timeout(self.times.call_timeout, exchange).await;
         let Some((sent, time)) = sent.get() else {
@@ -150,14 +152,14 @@
 
     async fn release(&self, address: SocketAddr, held: HeldRange) -> KeyCallOutcome {
         let make = || Some(addressed(release_request(held), address));
-        let exchange = self.pool.exchange_late(address, None, make);
+        let exchange = self.pool.exchange_deferred(address, None, make);
         let ended = tokio::time::timeout(RELEASE_LIMIT, exchange).await;
         match ended {
             Ok(Ok(Some(answer))) if answer.status() == StatusCode::OK => {
                 KeyCallOutcome::Released(read_handover(answer.headers()))
             }
             Ok(Ok(_)) => KeyCallOutcome::Rejected,
-            Ok(Err(ExchangeError::Dial(_))) => KeyCallOutcome::NotSent,
+            Ok(Err(ExchangeError::Connect(_))) => KeyCallOutcome::NotSent,
             Ok(Err(ExchangeError::Broken(_))) | Err(_) => KeyCallOutcome::Unanswered {
                 closed: clock::now(),
                 time: Duration::ZERO,
--- a/crates/rack/src/traffic/egress/turn.rs
+++ b/crates/rack/src/traffic/egress/admission_queue.rs
@@ -17,41 +17,41 @@
 use tokio::sync::oneshot;
 
 use crate::clock;
-use crate::traffic::wire::WriteGate;
+use crate::traffic::wire::WriteLimiter;
 
 /// How often waiting requests are looked at while nothing else happens: some become hopeless.
-const LOOK: Duration = Duration::from_millis(25);
+const DISPATCH_INTERVAL: Duration = Duration::from_millis(25);
 
-type Verdict = Result<(), (RefusalReason, Duration)>;
+type AdmissionResult = Result<(), (RefusalReason, Duration)>;
 
 /// Runs the admission machine for the requests of this node.
 #[derive(Debug, Default)]
-pub(super) struct Turns {
+pub(super) struct AdmissionQueue {
     admission: RefCell<Admission>,
-    waiting: RefCell<HashMap<Ticket, oneshot::Sender<Verdict>>>,
-    next: RefCell<u64>,
+    waiting: RefCell<HashMap<Ticket, oneshot::Sender<AdmissionResult>>>,
+    last_ticket: RefCell<u64>,
     arrived: Notify,
 }
 
 /// Is a slot at the backend server; dropped, it is free for the next.
 #[derive(Debug)]
 pub(super) struct Slot {
-    turns: Rc<Turns>,
+    queue: Rc<AdmissionQueue>,
     ticket: Ticket,
     route: RouteName,
     /// How long the server took, and how long its answer is.
-    answered: Option<(Duration, usize)>,
+    response: Option<(Duration, usize)>,
 }
 
 /// Takes a request back whose caller leaves while it waits.
-struct Withdrawal<'a> {
-    turns: &'a Rc<Turns>,
+struct CancelGuard<'a> {
+    queue: &'a Rc<AdmissionQueue>,
     ticket: Ticket,
     armed: bool,
 }
 
-impl WriteGate for Turns {
-    fn pass(&self) -> Option<Duration> {
+impl WriteLimiter for AdmissionQueue {
+    fn try_write(&self) -> Option<Duration> {
         self.admission
             .borrow_mut()
             .cold_limiter()
@@ -59,7 +59,7 @@
     }
 }
 
-impl Turns {
+impl AdmissionQueue {
     /// Changes what admission knows of the server.
     pub(super) fn update<C>(&self, change: C)
     where
@@ -69,26 +69,26 @@
     }
 
     /// Asks admission.
-    pub(super) fn ask<A, T>(&self, question: A) -> T
+    pub(super) fn query<Q, T>(&self, query: Q) -> T
     where
-        A: FnOnce(&mut Admission) -> T,
+        Q: FnOnce(&mut Admission) -> T,
     {
-        question(&mut self.admission.borrow_mut())
+        query(&mut self.admission.borrow_mut())
     }
 
     /// Returns how many requests run and how many wait.
-    pub(super) fn busy(&self) -> (usize, usize) {
+    pub(super) fn request_counts(&self) -> (usize, usize) {
         let admission = self.admission.borrow();
         (admission.running(), admission.waiting())
     }
 
     /// Returns how long requests take at the server.
-    pub(super) fn pace(&self) -> Duration {
+    pub(super) fn weighted_time(&self) -> Duration {
         self.admission.borrow().weighted_time()
     }
 
     /// Returns how long a request of a route keeps a slot.
-    pub(super) fn work(&self, route: &RouteName) -> Duration {
+    pub(super) fn service_time(&self, route: &RouteName) -> Duration {
         self.admission.borrow().service_time(route)
     }
 
@@ -98,15 +98,15 @@
     }
 
     /// Waits for a slot.
-    pub(super) async fn take(
+    pub(super) async fn acquire(
         self: &Rc<Self>,
         job: &super::super::job::Job,
     ) -> Result<Slot, (RefusalReason, Duration)> {
         let ticket = self.next_ticket();
-        let (sender, verdict) = oneshot::channel();
+        let (sender, result) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, sender);
-        let mut withdrawal = Withdrawal {
-            turns: self,
+        let mut guard = CancelGuard {
+            queue: self,
             ticket,
             armed: true,
         };
@@ -118,92 +118,94 @@
             deadline: job.deadline,
         };
         let actions = self.admission.borrow_mut().arrive(clock::now(), waiting);
-        self.act(actions);
+        self.apply(actions);
         self.arrived.notify_one();
-        let verdict = verdict.await;
-        withdrawal.armed = false;
+        let result = result.await;
+        guard.armed = false;
         // The sender is kept until it has spoken.
-        verdict.unwrap_or(Err((RefusalReason::NodeAway, Duration::ZERO)))?;
+        result.unwrap_or(Err((RefusalReason::NodeAway, Duration::ZERO)))?;
         Ok(Slot {
-            turns: Rc::clone(self),
+            queue: Rc::clone(self),
             ticket,
             route: job.route.clone(),
-            answered: None,
+            response: None,
         })
     }
 
     /// Looks at waiting requests from time to time.
-    pub(super) async fn watch(self: Rc<Self>) {
+    pub(super) async fn dispatch_periodically(self: Rc<Self>) {
         loop {
             if self.admission.borrow().waiting() == 0 {
                 self.arrived.notified().await;
             }
-            tokio::time::sleep(LOOK).await;
-            self.pump();
+            tokio::time::sleep(DISPATCH_INTERVAL).await;
+            self.dispatch_due();
         }
     }
 
     /// Starts and refuses what is due.
-    pub(super) fn pump(&self) {
+    pub(super) fn dispatch_due(&self) {
         let actions = self.admission.borrow_mut().dispatch(clock::now());
-        self.act(actions);
+        self.apply(actions);
     }
 
-    fn act(&self, actions: Vec<AdmissionAction>) {
+    fn apply(&self, actions: Vec<AdmissionAction>) {
         for action in actions {
-            let (ticket, verdict) = match action {
+            let (ticket, result) = match action {
                 AdmissionAction::Admit(ticket) => (ticket, Ok(())),
-                AdmissionAction::Refuse(ticket, reason, back) => (ticket, Err((reason, back))),
+                AdmissionAction::Refuse(ticket, reason, retry_after) => {
+                    (ticket, Err((reason, retry_after)))
+                }
             };
             let sender = self.waiting.borrow_mut().remove(&ticket);
             // A request that is gone has been taken back already.
             if let Some(sender) = sender {
-                sender.send(verdict).ok();
+                sender.send(result).ok();
             }
         }
     }
 
-    fn end(&self, ticket: Ticket, answered: Option<ResponseSample<'_>>) {
+    fn end(&self, ticket: Ticket, response: Option<ResponseSample<'_>>) {
         let actions = self
             .admission
             .borrow_mut()
-            .end(clock::now(), ticket, answered);
-        self.act(actions);
+            .end(clock::now(), ticket, response);
+        self.apply(actions);
     }
 
     fn next_ticket(&self) -> Ticket {
-        let mut next = self.next.borrow_mut();
-        *next += 1;
-        Ticket(*next)
+        let mut last = self.last_ticket.borrow_mut();
+        *last += 1;
+        Ticket(*last)
     }
 }
 
 impl Slot {
     /// Notes after which time the server answered, and how many bytes.
-    pub(super) fn answered(&mut self, time: Duration, bytes: usize) {
-        self.answered = Some((time, bytes));
+    pub(super) fn set_response(&mut self, time: Duration, bytes: usize) {
+        self.response = Some((time, bytes));
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        let answered = self.answered.map(|(time, bytes)| ResponseSample {
+        let response = self.response.map(|(time, bytes)| ResponseSample {
             route: &self.route,
             service_time: time,
             bytes,
         });
-        self.turns.end(self.ticket, answered);
+        self.queue.end(self.ticket, response);
     }
 }
 
-impl Drop for Withdrawal<'_> {
+impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
         if self.armed {
-            let known = self.turns.waiting.borrow_mut().remove(&self.ticket);
-            match known {
-                Some(_) => self.turns.admission.borrow_mut().cancel(self.ticket),
+            let waiting = self.queue.waiting.borrow_mut().remove(&self.ticket);
+            match waiting {
+                Some(_) => self.queue.admission.borrow_mut().cancel(self.ticket),
                 // Its turn came just as it left, so its slot is free again.
-                None => self.turns.end(self.ticket, None),
+                None => self.queue.end(self.ticket, None),
             }
         }
     }
--- a/crates/rack/src/traffic/egress/egress_node.rs
+++ b/crates/rack/src/traffic/egress/egress_node.rs
@@ -20,8 +20,8 @@
 use quetzalrack_mesh::traffic::admission::Admission;
 use quetzalrack_mesh::traffic::admission::ColdRate;
 
-use super::server_link::ServerLink;
-use super::turn::Turns;
+use super::admission_queue::AdmissionQueue;
+use super::server_client::ServerClient;
 use crate::clock;
 use crate::metrics::Metrics;
 use crate::shared::Board;
@@ -29,19 +29,19 @@
 use crate::shared::ServerView;
 use crate::shared::TrafficReport;
 use crate::traffic::job::Job;
-use crate::traffic::outcome::Lost;
+use crate::traffic::outcome::AttemptReport;
+use crate::traffic::outcome::LostReason;
 use crate::traffic::outcome::Outcome;
-use crate::traffic::outcome::Report;
-use crate::traffic::wire::OpenCount;
+use crate::traffic::wire::ActiveCounter;
 
 /// How soon a caller may come back that met no usable server here.
-const ELSEWHERE: Duration = Duration::from_millis(300);
+const RETRY_AFTER_UNUSABLE: Duration = Duration::from_millis(300);
 /// The part of the allowed excess over a cold server's rate that is used; the rest is for what
 /// arrives bunched.
-const COLD_PART: f64 = 0.6;
+const COLD_EXCESS_SHARE: f64 = 0.6;
 /// How long a server is taken for cold after its zone was emptied, unless its heartbeat says more:
 /// one heartbeat, and some.
-const AFTER_EVACUATION: Duration = Duration::from_millis(1_500);
+const COLD_AFTER_EVACUATION: Duration = Duration::from_millis(1_500);
 
 /// Serves jobs at the backend server beside the node.
 pub(in crate::traffic) struct Egress {
@@ -50,15 +50,15 @@
     service: ServiceName,
     zone: ZoneName,
     bounds: TimeBounds,
-    link: ServerLink,
-    pub(super) turns: Rc<Turns>,
-    keys: RefCell<KeyCounter>,
-    slowness: Cell<u16>,
+    client: ServerClient,
+    pub(super) queue: Rc<AdmissionQueue>,
+    key_counter: RefCell<KeyCounter>,
+    slowdown_percent: Cell<u16>,
     /// When the last line about requests to a cold server was written.
-    pub(super) cold_line: Cell<Moment>,
-    evacuated: Cell<bool>,
-    life: RefCell<Option<ServerIncarnation>>,
-    running: OpenCount,
+    pub(super) cold_logged: Cell<Moment>,
+    zone_evacuated: Cell<bool>,
+    incarnation: RefCell<Option<ServerIncarnation>>,
+    running: ActiveCounter,
     closed: Cell<bool>,
 }
 
@@ -77,33 +77,33 @@
             service,
             zone,
             bounds,
-            link: ServerLink::new(),
-            turns: Rc::default(),
-            keys: RefCell::default(),
-            slowness: Cell::new(100),
-            cold_line: Cell::default(),
-            evacuated: Cell::default(),
-            life: RefCell::default(),
-            running: OpenCount::default(),
+            client: ServerClient::new(),
+            queue: Rc::default(),
+            key_counter: RefCell::default(),
+            slowdown_percent: Cell::new(100),
+            cold_logged: Cell::default(),
+            zone_evacuated: Cell::default(),
+            incarnation: RefCell::default(),
+            running: ActiveCounter::default(),
             closed: Cell::default(),
         });
-        egress.turns.update(|admission| {
+        egress.queue.update(|admission| {
             admission.set_link(link);
             admission.cold_limiter().block_first_window(clock::now());
         });
-        tokio::task::spawn_local(Rc::clone(&egress.turns).watch());
+        tokio::task::spawn_local(Rc::clone(&egress.queue).dispatch_periodically());
         egress
     }
 
     /// Serves a job. A dropped call takes the job back, also from the server.
-    pub(in crate::traffic) async fn serve(&self, job: &Job) -> Report {
-        let _open = self.running.enter();
+    pub(in crate::traffic) async fn serve(&self, job: &Job) -> AttemptReport {
+        let _active = self.running.enter();
         let outcome = self.run(job).await;
-        self.note(job, &outcome);
+        self.record_outcome(job, &outcome);
         let view = self.board.view();
         let refused = job.key.filter(|_| matches!(outcome, Outcome::NotRun(..)));
         let owner = refused.and_then(|key| OwnerHint::of(&view.directory, &job.service, key));
-        Report {
+        AttemptReport {
             outcome,
             load: Some(self.load()),
             owner,
@@ -111,8 +111,8 @@
     }
 
     /// Returns how many jobs are here.
-    pub(in crate::traffic) fn running(&self) -> usize {
-        self.running.get()
+    pub(in crate::traffic) fn running_count(&self) -> usize {
+        self.running.count()
     }
 
     /// Takes no more jobs of other nodes.
@@ -127,74 +127,79 @@
     /// Counts for the control thread.
     pub(in crate::traffic) fn report(&self) -> TrafficReport {
         let view = self.board.view();
-        self.refresh(&view);
+        self.update_admission(&view);
         let now = clock::now();
-        self.note_cold(now, &view);
+        self.log_cold_requests(now, &view);
         let serving = view.server.as_ref().map(|server| server.serving.as_slice());
         let held: Vec<KeyRange> = serving
             .unwrap_or_default()
             .iter()
             .map(|(held, _)| held.keys)
             .collect();
-        self.metrics.set_opened(self.link.opened());
+        self.metrics.set_opened(self.client.opened_count());
         TrafficReport {
             load: self.load(),
             key_loads: match held.is_empty() {
                 true => Vec::new(),
-                false => self.keys.borrow_mut().loads(now, &held),
+                false => self.key_counter.borrow_mut().loads(now, &held),
             },
-            server_gone: self.link.refused_at().is_some(),
+            server_gone: self.client.refused_at().is_some(),
         }
     }
 
     async fn run(&self, job: &Job) -> Outcome {
         let view = self.board.view();
-        self.refresh(&view);
-        if let Err(reason) = self.usable(&view, job) {
-            return Outcome::NotRun(reason, ELSEWHERE);
+        self.update_admission(&view);
+        if let Err(reason) = self.usable_server(&view, job) {
+            return Outcome::NotRun(reason, RETRY_AFTER_UNUSABLE);
         }
         if let Some(key) = job.key {
-            self.keys
+            self.key_counter
                 .borrow_mut()
-                .count(key, self.turns.work(&job.route));
+                .count(key, self.queue.service_time(&job.route));
         }
-        let mut slot = match self.turns.take(job).await {
+        let mut slot = match self.queue.acquire(job).await {
             Ok(slot) => slot,
-            Err((reason, back)) => return Outcome::NotRun(reason, back),
+            Err((reason, retry_after)) => return Outcome::NotRun(reason, retry_after),
         };
         // While it waited, the server may have announced that it leaves, or lost the key.
         let view = self.board.view();
-        self.refresh(&view);
-        let server = match self.usable(&view, job) {
+        self.update_admission(&view);
+        let server = match self.usable_server(&view, job) {
             Ok(server) => server,
-            Err(reason) => return Outcome::NotRun(reason, ELSEWHERE),
+            Err(reason) => return Outcome::NotRun(reason, RETRY_AFTER_UNUSABLE),
         };
         let sent = clock::now();
-        let (outcome, told) = self
-            .link
-            .send(server.address, &server.life.id, job, self.turns.as_ref())
+        let (outcome, feedback) = self
+            .client
+            .send(server.address, &server.life.id, job, self.queue.as_ref())
             .await;
-        if let Some(slowness) = told.slowness {
-            self.slowness
-                .set(u16::try_from(slowness).unwrap_or(u16::MAX));
+        if let Some(percent) = feedback.slowdown_percent {
+            self.slowdown_percent
+                .set(u16::try_from(percent).unwrap_or(u16::MAX));
         }
-        if let Outcome::Answered(answer) = &outcome {
-            slot.answered(clock::now().since(sent), answer.body().len());
+        if let Outcome::Answered(response) = &outcome {
+            slot.set_response(clock::now().since(sent), response.body().len());
         }
         outcome
     }
 
     /// Returns the server if it may get a job now.
-    fn usable<'a>(&self, view: &'a NodeView, job: &Job) -> Result<&'a ServerView, RefusalReason> {
+    fn usable_server<'a>(
+        &self,
+        view: &'a NodeView,
+        job: &Job,
+    ) -> Result<&'a ServerView, RefusalReason> {
         let server = view.server.as_ref().ok_or(RefusalReason::NoServer)?;
         if job.service != self.service {
             return Err(RefusalReason::NoServer);
         }
-        if self.link.is_closed(server.heard_at) {
+        if self.client.is_port_closed(server.heard_at) {
             return Err(RefusalReason::Unreachable);
         }
-        let shut = |admission: &mut Admission| admission.cold_limiter().is_blocked(clock::now());
-        if self.turns.ask(shut) {
+        let is_blocked =
+            |admission: &mut Admission| admission.cold_limiter().is_blocked(clock::now());
+        if self.queue.query(is_blocked) {
             return Err(RefusalReason::NoDocument);
         }
         if server.draining || view.intent.evacuated.contains(&self.zone) {
@@ -217,25 +222,26 @@
     }
 
     /// Tells admission what is known of the server.
-    fn refresh(&self, view: &NodeView) {
+    fn update_admission(&self, view: &NodeView) {
         let Some(server) = &view.server else {
             return;
         };
         let now = clock::now();
         let evacuated = view.intent.evacuated.contains(&self.zone);
-        let returned = self.evacuated.replace(evacuated) && !evacuated;
-        let reborn = self.life.replace(Some(server.life.clone())) != Some(server.life.clone());
+        let returned = self.zone_evacuated.replace(evacuated) && !evacuated;
+        let restarted =
+            self.incarnation.replace(Some(server.life.clone())) != Some(server.life.clone());
         let rate = self.cold_rate(view);
-        let doubted = self.link.is_doubted(server.heard_at);
-        self.turns.update(|admission| {
+        let maybe_restarted = self.client.maybe_restarted(server.heard_at);
+        self.queue.update(|admission| {
             admission.set_slots(server.slots);
             let cold = admission.cold_limiter();
             cold.set_rate(rate);
-            cold.set_maybe_restarted(doubted);
-            if reborn {
+            cold.set_maybe_restarted(maybe_restarted);
+            if restarted {
                 cold.set_cold_until(server.cold_until);
             } else if returned {
-                cold.set_cold_until(server.cold_until.max(now + AFTER_EVACUATION));
+                cold.set_cold_until(server.cold_until.max(now + COLD_AFTER_EVACUATION));
             } else if server.cold_until > now {
                 cold.set_cold_until(server.cold_until);
             }
@@ -253,27 +259,27 @@
         // The bound holds for any second, so the rate itself may be exceeded a little.
         let excess = rate * (self.bounds.cold_factor - 1.0) + self.bounds.cold_slack;
         ColdRate::PerSecond {
-            begun: rate + excess * COLD_PART,
+            begun: rate + excess * COLD_EXCESS_SHARE,
             most: rate + excess,
         }
     }
 
     fn load(&self) -> NodeLoad {
-        let (running, waiting) = self.turns.busy();
+        let (running, waiting) = self.queue.request_counts();
         let view = self.board.view();
         let slots = view.server.as_ref().map_or(0, |server| server.slots);
         NodeLoad {
             requests: u16::try_from(running + waiting).unwrap_or(u16::MAX),
             limit: u16::try_from(slots).unwrap_or(u16::MAX),
-            slowdown_percent: self.slowness.get(),
-            request_ms: u16::try_from(self.turns.pace().as_millis()).unwrap_or(u16::MAX),
-            backlog_ms: u16::try_from(self.turns.link_time(clock::now()).as_millis())
+            slowdown_percent: self.slowdown_percent.get(),
+            request_ms: u16::try_from(self.queue.weighted_time().as_millis()).unwrap_or(u16::MAX),
+            backlog_ms: u16::try_from(self.queue.link_time(clock::now()).as_millis())
                 .unwrap_or(u16::MAX),
         }
     }
 }
 
-impl Lost {
+impl LostReason {
     /// Tells whether the time of the job is over.
     pub(in crate::traffic) fn is_timeout(self) -> bool {
         self == Self::TimedOut
--- a/crates/rack/src/traffic/hop/hop_client.rs
+++ b/crates/rack/src/traffic/hop/hop_client.rs
@@ -12,33 +12,33 @@
 use quetzalrack_mesh::traffic::RefusalReason;
 
 use super::INTENT_PATH;
-use super::hop_answer;
 use super::hop_request;
+use super::hop_response;
 use crate::clock;
 use crate::traffic::job::Job;
-use crate::traffic::outcome::Lost;
+use crate::traffic::outcome::AttemptReport;
+use crate::traffic::outcome::LostReason;
 use crate::traffic::outcome::Outcome;
-use crate::traffic::outcome::Report;
 use crate::traffic::wire::ExchangeError;
 use crate::traffic::wire::LinkPacer;
-use crate::traffic::wire::OpenGate;
 use crate::traffic::wire::Pool;
 use crate::traffic::wire::PoolLimits;
+use crate::traffic::wire::Unlimited;
 use crate::traffic::wire::dial;
 
 /// Connections between nodes: a host in reach answers within a few milliseconds, and one that does
 /// not should cost a request little of its time. Nodes keep idle ones for longer than this.
-const LIMITS: PoolLimits = PoolLimits {
-    dial: Duration::from_millis(120),
-    idle: Duration::from_secs(20),
-    kept: 16,
+const POOL_LIMITS: PoolLimits = PoolLimits {
+    dial_timeout: Duration::from_millis(120),
+    idle_timeout: Duration::from_secs(20),
+    max_idle: 16,
 };
 /// How long a node may take to accept a connection that only asks whether it is there; a busy one
 /// may be slow, and giving up on it costs what it works on.
-const REACHED: Duration = Duration::from_millis(400);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 /// How much longer than the job's own time its answer is waited for: the other node gives its own
 /// answer at the end of that time, and it needs the way back.
-const WAY_BACK: Duration = Duration::from_millis(20);
+const RETURN_TIME: Duration = Duration::from_millis(20);
 
 /// Sends jobs to other nodes.
 #[derive(Debug)]
@@ -49,18 +49,22 @@
 impl HopClient {
     pub(in crate::traffic) fn new(pacer: Option<Rc<LinkPacer>>) -> Self {
         Self {
-            pool: Pool::new(LIMITS, pacer),
+            pool: Pool::new(POOL_LIMITS, pacer),
         }
     }
 
     /// Tells whether a node takes connections.
-    pub(in crate::traffic) async fn reaches(&self, address: SocketAddr) -> bool {
-        dial(address, REACHED).await.is_ok()
+    pub(in crate::traffic) async fn is_reachable(&self, address: SocketAddr) -> bool {
+        dial(address, PROBE_TIMEOUT).await.is_ok()
     }
 
     /// Tells a node that knows no document that the one at `neighbour` does.
-    pub(in crate::traffic) async fn introduce(&self, address: SocketAddr, neighbour: SocketAddr) {
-        let body = match postcard::to_allocvec(&neighbour) {
+    pub(in crate::traffic) async fn announce_intent_source(
+        &self,
+        address: SocketAddr,
+        source: SocketAddr,
+    ) {
+        let body = match postcard::to_allocvec(&source) {
             Ok(body) => body,
             Err(error) => {
                 log::error!(event = "neighbour_not_written"; "{error}");
@@ -70,38 +74,42 @@
         let mut request = Request::new(Full::new(body.into()));
         *request.method_mut() = Method::POST;
         *request.uri_mut() = Uri::from_static(INTENT_PATH);
-        let exchange = self
-            .pool
-            .exchange(address, request, LIMITS.idle, &OpenGate, |_| true);
+        let exchange = self.pool.exchange(
+            address,
+            request,
+            POOL_LIMITS.idle_timeout,
+            &Unlimited,
+            |_| true,
+        );
         // Lost, it is said again with the next request that is refused there.
-        tokio::time::timeout(REACHED, exchange).await.ok();
+        tokio::time::timeout(PROBE_TIMEOUT, exchange).await.ok();
     }
 
     /// Sends a job to the node at `address` and returns what became of it there.
-    pub(in crate::traffic) async fn send(&self, address: SocketAddr, job: &Job) -> Report {
+    pub(in crate::traffic) async fn send(&self, address: SocketAddr, job: &Job) -> AttemptReport {
         let now = clock::now();
-        let Some(request) = hop_request::write(now, job) else {
-            return Report::bare(Outcome::NotRun(RefusalReason::NodeAway, Duration::ZERO));
+        let Some(request) = hop_request::encode(now, job) else {
+            return AttemptReport::new(Outcome::NotRun(RefusalReason::NodeAway, Duration::ZERO));
         };
-        let patience = job.deadline.since(now) + WAY_BACK;
+        let timeout = job.deadline.since(now) + RETURN_TIME;
         let exchange = self.pool.exchange(
             address,
             request,
-            LIMITS.idle,
-            &OpenGate,
-            |answer: &Response<_>| !answer.headers().contains_key(http::header::CONNECTION),
+            POOL_LIMITS.idle_timeout,
+            &Unlimited,
+            |response: &Response<_>| !response.headers().contains_key(http::header::CONNECTION),
         );
-        match tokio::time::timeout(patience, exchange).await {
-            Ok(Ok(answer)) => hop_answer::read(answer)
-                .unwrap_or_else(|| Report::bare(Outcome::Lost(Lost::Foreign))),
-            Ok(Err(ExchangeError::Dial(_))) => {
-                Report::bare(Outcome::NotRun(RefusalReason::NodeAway, Duration::ZERO))
+        match tokio::time::timeout(timeout, exchange).await {
+            Ok(Ok(response)) => hop_response::decode(response)
+                .unwrap_or_else(|| AttemptReport::new(Outcome::Lost(LostReason::Foreign))),
+            Ok(Err(ExchangeError::Connect(_))) => {
+                AttemptReport::new(Outcome::NotRun(RefusalReason::NodeAway, Duration::ZERO))
             }
             Ok(Err(ExchangeError::Broken(_))) => {
-                self.pool.forget(address);
-                Report::bare(Outcome::Lost(Lost::Broken))
+                self.pool.close_idle(address);
+                AttemptReport::new(Outcome::Lost(LostReason::Broken))
             }
-            Err(_) => Report::bare(Outcome::Lost(Lost::TimedOut)),
+            Err(_) => AttemptReport::new(Outcome::Lost(LostReason::TimedOut)),
         }
     }
 }
--- a/crates/rack/src/traffic/hop/hop_request.rs
+++ b/crates/rack/src/traffic/hop/hop_request.rs
@@ -16,15 +16,15 @@
 
 /// Writes a job as a request to another node. Times are sent as what is left of them, since the
 /// clocks of two hosts are never compared.
-pub(super) fn write(now: Moment, job: &Job) -> Option<Request<Full<Bytes>>> {
-    let once = job.kind == WorkKind::Once;
+pub(super) fn encode(now: Moment, job: &Job) -> Option<Request<Full<Bytes>>> {
+    let is_once = job.kind == WorkKind::Once;
     let text = format!(
         "{} {} {} {} {} {} {}",
         job.service,
-        job.origin,
+        job.caller,
         job.route,
         job.rank,
-        u8::from(once),
+        u8::from(is_once),
         job.objective.since(now).as_millis(),
         job.deadline.since(now).as_millis(),
     );
@@ -39,32 +39,32 @@
 }
 
 /// Reads a job from a request of another node.
-pub(super) fn read(now: Moment, parts: Parts, body: Bytes) -> Option<Job> {
+pub(super) fn decode(now: Moment, parts: Parts, body: Bytes) -> Option<Job> {
     let mut headers = parts.headers;
     let value = headers.remove(JOB_HEADER)?;
-    let mut words = value.to_str().ok()?.split(' ');
-    let mut word = || words.next();
-    let service = word()?.parse().ok()?;
-    let origin = word()?.parse().ok()?;
-    let route = word()?.parse().ok()?;
-    let rank = word()?.parse().ok()?;
-    let kind = match word()? {
+    let mut fields = value.to_str().ok()?.split(' ');
+    let mut field = || fields.next();
+    let service = field()?.parse().ok()?;
+    let caller = field()?.parse().ok()?;
+    let route = field()?.parse().ok()?;
+    let rank = field()?.parse().ok()?;
+    let kind = match field()? {
         "0" => WorkKind::Idempotent,
         _ => WorkKind::Once,
     };
-    let mut left = || word()?.parse().ok().map(Duration::from_millis);
-    let objective = now + left()?;
-    let deadline = now + left()?;
-    let known = RequestHeaders::read(&headers);
+    let mut time_left = || field()?.parse().ok().map(Duration::from_millis);
+    let objective = now + time_left()?;
+    let deadline = now + time_left()?;
+    let client_headers = RequestHeaders::read(&headers);
     Some(Job {
         method: parts.method,
         uri: parts.uri,
         headers,
         body,
-        id: known.id,
-        key: known.key,
+        id: client_headers.id,
+        key: client_headers.key,
         service,
-        origin,
+        caller,
         route,
         rank,
         kind,
--- /dev/null
+++ b/crates/rack/src/traffic/hop/hop_response.rs
@@ -0,0 +1,81 @@
+//! The answer that one node gives to another.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use http::HeaderValue;
+use http::Response;
+use http::StatusCode;
+use http_body_util::Full;
+use quetzalrack_mesh::ownership::NodeLoad;
+
+use super::OUTCOME_HEADER;
+use crate::traffic::outcome::AttemptReport;
+use crate::traffic::outcome::Outcome;
+
+const ANSWERED: &str = "answered";
+const NOT_RUN: &str = "not_run";
+const LOST: &str = "lost";
+
+/// Writes a report as an answer to another node.
+pub(super) fn encode(report: AttemptReport) -> Response<Full<Bytes>> {
+    let load = report.load.unwrap_or_default();
+    let (kind, detail, encoded) = match report.outcome {
+        Outcome::Answered(response) => (ANSWERED, String::new(), response),
+        Outcome::NotRun(reason, retry_after) => {
+            let owner = report.owner.map(|owner| format!(" {owner}"));
+            let owner = owner.unwrap_or_default();
+            let detail = format!(" {reason} {}{owner}", retry_after.as_millis());
+            (NOT_RUN, detail, empty_response())
+        }
+        Outcome::Lost(reason) => (LOST, format!(" {reason}"), empty_response()),
+    };
+    let header = format!(
+        "{kind} {} {} {} {} {}{detail}",
+        load.requests, load.limit, load.slowdown_percent, load.request_ms, load.backlog_ms
+    );
+    let mut encoded = encoded.map(Full::new);
+    // The words are all plain ASCII.
+    if let Ok(value) = HeaderValue::from_str(&header) {
+        encoded.headers_mut().insert(OUTCOME_HEADER, value);
+    }
+    encoded
+}
+
+fn empty_response() -> Response<Bytes> {
+    let mut encoded = Response::new(Bytes::new());
+    *encoded.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
+    encoded
+}
+
+/// Reads the answer of another node; nothing if it is none.
+pub(super) fn decode(mut response: Response<Bytes>) -> Option<AttemptReport> {
+    let value = response.headers_mut().remove(OUTCOME_HEADER)?;
+    let mut fields = value.to_str().ok()?.split(' ');
+    let kind = fields.next()?.to_owned();
+    let mut number = || fields.next()?.parse().ok();
+    let load = NodeLoad {
+        requests: number()?,
+        limit: number()?,
+        slowdown_percent: number()?,
+        request_ms: number()?,
+        backlog_ms: number()?,
+    };
+    let mut owner = None;
+    let outcome = match kind.as_str() {
+        ANSWERED => Outcome::Answered(response),
+        NOT_RUN => {
+            let reason = fields.next()?.parse().ok()?;
+            let retry_after = fields.next()?.parse().ok()?;
+            owner = fields.next().and_then(|hint| hint.parse().ok());
+            Outcome::NotRun(reason, Duration::from_millis(retry_after))
+        }
+        LOST => Outcome::Lost(fields.next()?.parse().ok()?),
+        _ => return None,
+    };
+    Some(AttemptReport {
+        outcome,
+        load: Some(load),
+        owner,
+    })
+}
--- a/crates/rack/src/traffic/hop/hop_server.rs
+++ b/crates/rack/src/traffic/hop/hop_server.rs
@@ -22,20 +22,20 @@
 use tokio::sync::watch;
 
 use super::INTENT_PATH;
-use super::hop_answer;
 use super::hop_request;
+use super::hop_response;
 use crate::accept::accept_all;
 use crate::clock;
 use crate::shared::Board;
 use crate::traffic::egress::Egress;
+use crate::traffic::outcome::AttemptReport;
 use crate::traffic::outcome::Outcome;
-use crate::traffic::outcome::Report;
+use crate::traffic::wire::ActiveCounter;
 use crate::traffic::wire::LinkPacer;
-use crate::traffic::wire::OpenCount;
 use crate::traffic::wire::PacedStream;
 
 /// How soon a node asks again that was refused because this one is shutting down.
-const AFTER_SHUTDOWN: Duration = Duration::from_millis(500);
+const RETRY_AFTER_SHUTDOWN: Duration = Duration::from_millis(500);
 
 /// Serves other nodes.
 #[derive(Clone)]
@@ -44,7 +44,7 @@
     pub(in crate::traffic) board: Arc<Board>,
     pub(in crate::traffic) pacer: Option<Rc<LinkPacer>>,
     /// The connections of other nodes.
-    pub(in crate::traffic) open: OpenCount,
+    pub(in crate::traffic) connections: ActiveCounter,
     /// Turns true when they are to be closed, each after the answer that is being written.
     pub(in crate::traffic) closing: watch::Receiver<bool>,
 }
@@ -56,10 +56,10 @@
     }
 
     async fn serve(self, stream: TcpStream) {
-        let _open = self.open.enter();
+        let _active = self.connections.enter();
         let mut closing = self.closing.clone();
         let stream = PacedStream::new(stream, self.pacer.clone());
-        let service = service_fn(move |request| self.clone().answer(request));
+        let service = service_fn(move |request| self.clone().handle(request));
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         let mut connection = std::pin::pin!(connection);
         tokio::select! {
@@ -72,56 +72,59 @@
         }
     }
 
-    async fn answer(self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
-        let of_intent = request.uri().path() == INTENT_PATH;
-        if of_intent && request.method() == Method::GET {
-            return Ok(self.intent());
+    async fn handle(self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
+        let is_intent = request.uri().path() == INTENT_PATH;
+        if is_intent && request.method() == Method::GET {
+            return Ok(self.intent_response());
         }
         let (parts, body) = request.into_parts();
         let Ok(body) = body.collect().await else {
-            return Ok(malformed());
+            return Ok(bad_request());
         };
         let body = body.to_bytes();
-        if of_intent {
-            return Ok(self.meet(&body));
+        if is_intent {
+            return Ok(self.receive_intent_source(&body));
         }
-        let Some(job) = hop_request::read(clock::now(), parts, body) else {
-            return Ok(malformed());
+        let Some(job) = hop_request::decode(clock::now(), parts, body) else {
+            return Ok(bad_request());
         };
         let report = match self.board.is_leaving() && self.egress.is_closed() {
-            true => Report::bare(Outcome::NotRun(RefusalReason::NodeAway, AFTER_SHUTDOWN)),
+            true => AttemptReport::new(Outcome::NotRun(
+                RefusalReason::NodeAway,
+                RETRY_AFTER_SHUTDOWN,
+            )),
             false => self.egress.serve(&job).await,
         };
-        Ok(hop_answer::write(report))
+        Ok(hop_response::encode(report))
     }
 
     /// Notes a node that knows the operators' document.
-    fn meet(&self, body: &[u8]) -> Response<Full<Bytes>> {
+    fn receive_intent_source(&self, body: &[u8]) -> Response<Full<Bytes>> {
         match postcard::from_bytes(body) {
-            Ok(neighbour) => {
-                self.board.meet(neighbour);
+            Ok(source) => {
+                self.board.meet(source);
                 Response::default()
             }
             Err(error) => {
                 log::warn!(event = "neighbour_unreadable"; "{error}");
-                malformed()
+                bad_request()
             }
         }
     }
 
-    fn intent(&self) -> Response<Full<Bytes>> {
+    fn intent_response(&self) -> Response<Full<Bytes>> {
         let view = self.board.view();
         match postcard::to_allocvec(view.intent.as_ref()) {
             Ok(bytes) => Response::new(Full::new(bytes.into())),
             Err(error) => {
                 log::error!(event = "intent_not_written"; "{error}");
-                malformed()
+                bad_request()
             }
         }
     }
 }
 
-fn malformed() -> Response<Full<Bytes>> {
+fn bad_request() -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = StatusCode::BAD_REQUEST;
     response
--- a/crates/rack/src/traffic/hop/mod.rs
+++ b/crates/rack/src/traffic/hop/mod.rs
@@ -1,8 +1,8 @@
 //! Requests between nodes: HTTP/1.1 on warm connections, with one header of ours each way.
 
-mod hop_answer;
 mod hop_client;
 mod hop_request;
+mod hop_response;
 mod hop_server;
 
 pub(super) use hop_client::HopClient;
--- a/crates/rack/src/traffic/ingress/attempts.rs
+++ b/crates/rack/src/traffic/ingress/attempts.rs
@@ -8,25 +8,25 @@
 use quetzalrack_core::time::Moment;
 use quetzalrack_mesh::traffic::RefusalReason;
 
-use crate::traffic::outcome::Lost;
+use crate::traffic::outcome::LostReason;
 
 /// When to come back if no server of the service is usable.
-pub(super) const NOWHERE: Duration = Duration::from_millis(400);
+pub(super) const RETRY_AFTER_NO_SERVER: Duration = Duration::from_millis(400);
 /// Follows the attempts of one request.
 pub(super) struct Attempts {
-    pub(super) tried: Vec<NodeName>,
+    pub(super) tried_nodes: Vec<NodeName>,
     /// How many reached a backend server.
-    pub(super) sent: u32,
+    pub(super) sent_count: u32,
     /// Whether one of them may have run.
-    pub(super) lost: Option<Lost>,
+    pub(super) lost: Option<LostReason>,
     /// A failure that a server answered.
-    pub(super) failure: Option<Response<Bytes>>,
+    pub(super) failed_response: Option<Response<Bytes>>,
     /// The last refusal.
-    pub(super) refusal: (RefusalReason, Duration),
+    pub(super) last_refusal: (RefusalReason, Duration),
     /// The owner of the key by the word of a node that refused, until it is tried.
-    pub(super) named: Option<NodeName>,
+    pub(super) hinted_owner: Option<NodeName>,
     /// How many such words were followed without a wait.
-    pub(super) words: u32,
+    pub(super) hints_followed: u32,
     /// Since when the request waits for an owner of its key, and how long it does.
     pub(super) owner_wait: Option<(Moment, Duration)>,
 }
@@ -34,13 +34,13 @@
 impl Attempts {
     pub(super) fn new() -> Self {
         Self {
-            tried: Vec::new(),
-            sent: 0,
+            tried_nodes: Vec::new(),
+            sent_count: 0,
             lost: None,
-            failure: None,
-            refusal: (RefusalReason::NoServer, NOWHERE),
-            named: None,
-            words: 0,
+            failed_response: None,
+            last_refusal: (RefusalReason::NoServer, RETRY_AFTER_NO_SERVER),
+            hinted_owner: None,
+            hints_followed: 0,
             owner_wait: None,
         }
     }
--- a/crates/rack/src/traffic/ingress/client_port.rs
+++ b/crates/rack/src/traffic/ingress/client_port.rs
@@ -24,16 +24,16 @@
 use super::pipeline::Pipeline;
 use crate::accept::accept_until;
 use crate::shared::Board;
+use crate::traffic::wire::ActiveCounter;
 use crate::traffic::wire::LinkPacer;
-use crate::traffic::wire::OpenCount;
 use crate::traffic::wire::PacedStream;
 use crate::traffic::wire::WatchedStream;
 
 /// The smallest buffer that the HTTP library takes for a header section.
-const SMALLEST_BUFFER: usize = 8 * 1024;
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 /// How long the first request of a connection may take to come while the process leaves: clients send it
 /// when the connection is open, and a busy host reads it tenths of a second later.
-const FIRST_REQUEST: Duration = Duration::from_millis(1_000);
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Serves clients.
 #[derive(Clone)]
@@ -44,7 +44,7 @@
     pub(in crate::traffic) closing: watch::Receiver<bool>,
     pub(in crate::traffic) pacer: Option<Rc<LinkPacer>>,
     /// The connections of clients.
-    pub(in crate::traffic) open: OpenCount,
+    pub(in crate::traffic) connections: ActiveCounter,
 }
 
 impl ClientPort {
@@ -52,78 +52,81 @@
     pub(in crate::traffic) async fn run(
         self,
         listener: TcpListener,
-        mut last: watch::Receiver<bool>,
+        mut stop_accepting: watch::Receiver<bool>,
     ) {
-        let over = async {
+        let stopped = async {
             // Without a sender the process is over as well.
-            last.wait_for(|last| *last).await.ok();
+            stop_accepting
+                .wait_for(|stop_accepting| *stop_accepting)
+                .await
+                .ok();
         };
         accept_until(
             listener,
             "clients",
             |stream| self.clone().serve(stream),
-            over,
+            stopped,
         )
         .await;
     }
 
     async fn serve(self, stream: TcpStream) {
-        let _open = self.open.enter();
+        let _active = self.connections.enter();
         let config = self.board.view().intent.config.clone();
         let limits = config.map(|config| config.limits).unwrap_or_default();
         let pipeline = Pipeline::new(Rc::clone(&self.ingress));
-        let looking = Rc::clone(&pipeline);
-        let watched = Rc::clone(&pipeline);
-        let (stream, departure) = WatchedStream::open(stream, move |bytes| looking.look(bytes));
+        let scanning = Rc::clone(&pipeline);
+        let observed = Rc::clone(&pipeline);
+        let (stream, disconnect) = WatchedStream::open(stream, move |bytes| scanning.scan(bytes));
         let stream = PacedStream::new(stream, self.pacer.clone());
         let (port, mut closing) = (self.clone(), self.closing.clone());
-        let service = service_fn(move |request| port.clone().answer(Rc::clone(&pipeline), request));
+        let service = service_fn(move |request| port.clone().handle(Rc::clone(&pipeline), request));
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(limits.idle_time.max(limits.header_time))
-            .max_buf_size(limits.header_bytes.max(SMALLEST_BUFFER))
+            .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
             .serve_connection(TokioIo::new(stream), service);
         let mut connection = std::pin::pin!(connection);
         // A client that left while its request lay in a queue is looked for first, so that the
         // request is not started.
         tokio::select! {
             biased;
-            () = departure.wait() => {}
+            () = disconnect.wait() => {}
             // A broken connection has no one to tell.
             _ = connection.as_mut() => {}
-            () = watched.slow_head(limits.header_time) => {
+            () = observed.wait_slow_head(limits.header_time) => {
                 log::info!(event = "head_too_slow", after_ms = limits.header_time.as_millis() as u64; "");
             }
             _ = closing.wait_for(|closing| *closing) => {
                 // The first request of a connection that has just been opened may be on its way.
                 tokio::select! {
                     biased;
-                    () = departure.wait() => return,
+                    () = disconnect.wait() => return,
                     _ = connection.as_mut() => return,
-                    () = watched.first_taken() => {}
-                    () = tokio::time::sleep(FIRST_REQUEST) => {}
+                    () = observed.wait_first_request() => {}
+                    () = tokio::time::sleep(FIRST_REQUEST_TIMEOUT) => {}
                 }
                 connection.as_mut().graceful_shutdown();
                 tokio::select! {
                     biased;
-                    () = departure.wait() => {}
+                    () = disconnect.wait() => {}
                     _ = connection.as_mut() => {}
                 }
             }
         }
     }
 
-    async fn answer(
+    async fn handle(
         self,
         pipeline: Rc<Pipeline>,
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
-        let mut answer = pipeline.answer(request).await.map(Full::new);
+        let mut response = pipeline.respond(request).await.map(Full::new);
         if self.board.is_leaving() {
-            answer
+            response
                 .headers_mut()
                 .insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        Ok(answer)
+        Ok(response)
     }
 }
--- a/crates/rack/src/traffic/ingress/answer_client.rs
+++ b/crates/rack/src/traffic/ingress/client_response.rs
@@ -19,7 +19,7 @@
 use http::header::UPGRADE;
 
 /// Headers that concern one connection only.
-const OF_CONNECTION: [HeaderName; 7] = [
+const CONNECTION_HEADERS: [HeaderName; 7] = [
     CONNECTION,
     PROXY_AUTHENTICATE,
     PROXY_AUTHORIZATION,
@@ -32,9 +32,9 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
 /// Says that a request surely has not run, and when to come back. Its status is a promise.
-pub(super) fn not_run(back: Duration) -> Response<Bytes> {
-    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE);
-    let seconds = format!("{:.3}", back.as_secs_f64());
+pub(super) fn not_run_response(retry_after: Duration) -> Response<Bytes> {
+    let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
+    let seconds = format!("{:.3}", retry_after.as_secs_f64());
     // Digits and a point always make a header.
     if let Ok(value) = HeaderValue::from_str(&seconds) {
         response.headers_mut().insert(RETRY_AFTER, value);
@@ -43,14 +43,14 @@
 }
 
 /// Makes an answer without a body.
-pub(super) fn plain(status: StatusCode) -> Response<Bytes> {
+pub(super) fn empty_response(status: StatusCode) -> Response<Bytes> {
     let mut response = Response::new(Bytes::new());
     *response.status_mut() = status;
     response
 }
 
 /// Removes the headers that concern one connection, also those that `Connection` names.
-pub(super) fn strip(headers: &mut HeaderMap) {
+pub(super) fn strip_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -58,7 +58,7 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&OF_CONNECTION).chain([&KEEP_ALIVE]) {
+    for name in named.iter().chain(&CONNECTION_HEADERS).chain([&KEEP_ALIVE]) {
         headers.remove(name);
     }
     // The body is passed on whole, so its length is written anew.
--- a/crates/rack/src/traffic/ingress/ingress_node.rs
+++ b/crates/rack/src/traffic/ingress/ingress_node.rs
@@ -23,45 +23,45 @@
 use quetzalrack_mesh::traffic::owner_wait::OwnerWait;
 use quetzalrack_mesh::traffic::retry::RetryBudget;
 
-use super::answer_client::not_run;
-use super::answer_client::plain;
-use super::answer_client::strip;
 use super::attempts::Attempts;
-use super::attempts::NOWHERE;
-use super::intake;
-use super::intake::Intake;
-use super::placing;
-use super::placing::Place;
+use super::attempts::RETRY_AFTER_NO_SERVER;
+use super::client_response::empty_response;
+use super::client_response::not_run_response;
+use super::client_response::strip_connection_headers;
+use super::incoming_request;
+use super::incoming_request::IncomingRequest;
+use super::placement;
+use super::placement::Placement;
 use crate::clock;
 use crate::metrics::Metrics;
 use crate::shared::Board;
 use crate::traffic::egress::Egress;
 use crate::traffic::hop::HopClient;
 use crate::traffic::job::Job;
-use crate::traffic::outcome::Lost;
+use crate::traffic::outcome::AttemptReport;
+use crate::traffic::outcome::LostReason;
 use crate::traffic::outcome::Outcome;
-use crate::traffic::outcome::Report;
+use crate::traffic::wire::ActiveCounter;
 use crate::traffic::wire::LinkPacer;
-use crate::traffic::wire::OpenCount;
 
 /// How long after a look at the table the next one follows while a key has no owner.
-const OWNER_LOOK: Duration = Duration::from_millis(40);
+const OWNER_POLL_INTERVAL: Duration = Duration::from_millis(40);
 /// The time that an attempt needs at least to be worth making.
-pub(super) const WORTHWHILE: Duration = Duration::from_millis(20);
+pub(super) const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(20);
 
 /// Places the requests that begin on this host.
 pub(in crate::traffic) struct Ingress {
-    pub(super) me: NodeName,
+    pub(super) node_name: NodeName,
     pub(super) settings: HostSettings,
     pub(super) board: Arc<Board>,
     pub(super) metrics: Arc<Metrics>,
     egress: Rc<Egress>,
     hops: Rc<HopClient>,
-    chooser: RefCell<LoadBalancer>,
-    wheels: RefCell<HashMap<RouteName, WeightWheel>>,
+    balancer: RefCell<LoadBalancer>,
+    weight_wheels: RefCell<HashMap<RouteName, WeightWheel>>,
     budgets: RefCell<HashMap<ServiceName, RetryBudget>>,
     owner_waits: RefCell<OwnerWait>,
-    running: OpenCount,
+    running: ActiveCounter,
 }
 
 impl Ingress {
@@ -74,23 +74,23 @@
         seed: u64,
     ) -> Rc<Self> {
         Rc::new(Self {
-            me: settings.node.clone(),
-            chooser: RefCell::new(LoadBalancer::new(settings.zone.clone(), seed)),
+            node_name: settings.node.clone(),
+            balancer: RefCell::new(LoadBalancer::new(settings.zone.clone(), seed)),
             settings,
             board,
             metrics,
             egress,
             hops: Rc::new(HopClient::new(pacer)),
-            wheels: RefCell::default(),
+            weight_wheels: RefCell::default(),
             budgets: RefCell::default(),
             owner_waits: RefCell::default(),
-            running: OpenCount::default(),
+            running: ActiveCounter::default(),
         })
     }
 
     /// Returns how many requests are being worked on.
-    pub(in crate::traffic) fn running(&self) -> usize {
-        self.running.get()
+    pub(in crate::traffic) fn running_count(&self) -> usize {
+        self.running.count()
     }
 
     /// Serves one request of a client.
@@ -99,71 +99,71 @@
         B: Body<Data = Bytes> + Unpin,
     {
         let arrived = clock::now();
-        let _open = self.running.enter();
+        let _active = self.running.enter();
         let view = self.board.view();
-        let route = match intake::find_route(&view, &parts) {
+        let route = match incoming_request::find_route(&view, &parts) {
             Ok(route) => route,
-            Err(rejected) => return rejected.answer(),
+            Err(rejection) => return rejection.response(),
         };
         let Some(config) = view.intent.config.clone() else {
-            return not_run(NOWHERE);
+            return not_run_response(RETRY_AFTER_NO_SERVER);
         };
-        let body = match intake::read_body(body, &config).await {
+        let body = match incoming_request::read_body(body, &config).await {
             Ok(body) => body,
-            Err(rejected) => return rejected.answer(),
+            Err(rejection) => return rejection.response(),
         };
-        let service = self.service(&route);
-        let origin = self.settings.service.clone();
-        let intake = intake::make(arrived, parts, body, route, service, origin);
-        if let Some(back) = self.ends_before(&intake) {
+        let service = self.select_service(&route);
+        let caller = self.settings.service.clone();
+        let incoming = incoming_request::build(arrived, parts, body, route, service, caller);
+        if let Some(retry_after) = self.retry_after_shutdown(&incoming) {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            self.note(&intake, "node_leaves", status, 0);
+            self.log_unserved(&incoming, "node_leaves", status, 0);
             self.metrics.answered(
-                intake.route.name.as_str(),
+                incoming.route.name.as_str(),
                 status.as_u16(),
                 clock::now().since(arrived),
             );
-            return not_run(back);
+            return not_run_response(retry_after);
         }
-        let mut answer = tokio::select! {
-            answer = self.place(&intake) => answer,
-            () = self.last_moment() => {
-                self.note(&intake, "node_ends", StatusCode::BAD_GATEWAY, 0);
-                plain(StatusCode::BAD_GATEWAY)
+        let mut response = tokio::select! {
+            response = self.place(&incoming) => response,
+            () = self.wait_shutdown_deadline() => {
+                self.log_unserved(&incoming, "node_ends", StatusCode::BAD_GATEWAY, 0);
+                empty_response(StatusCode::BAD_GATEWAY)
             }
         };
-        let status = answer.status().as_u16();
+        let status = response.status().as_u16();
         self.metrics.answered(
-            intake.route.name.as_str(),
+            incoming.route.name.as_str(),
             status,
             clock::now().since(arrived),
         );
-        strip(answer.headers_mut());
-        answer
+        strip_connection_headers(response.headers_mut());
+        response
     }
 
     /// Tells whether a request may run more than once.
     pub(super) fn is_repeatable(&self, parts: &Parts) -> bool {
-        let route = intake::find_route(&self.board.view(), parts);
+        let route = incoming_request::find_route(&self.board.view(), parts);
         route.is_ok_and(|route| route.kind.is_repeatable())
     }
 
-    fn service(&self, route: &Route) -> ServiceName {
-        let mut wheels = self.wheels.borrow_mut();
-        let wheel = wheels.entry(route.name.clone()).or_default();
-        let place = match route.services.len() {
+    fn select_service(&self, route: &Route) -> ServiceName {
+        let mut weight_wheels = self.weight_wheels.borrow_mut();
+        let weight_wheel = weight_wheels.entry(route.name.clone()).or_default();
+        let index = match route.services.len() {
             1 => 0,
-            _ => wheel.turn(&route.services),
+            _ => weight_wheel.turn(&route.services),
         };
         // A route names one service at least, and the wheel returns a place among them.
-        let part = route.services.get(place).or_else(|| route.services.first());
-        part.map_or_else(
+        let entry = route.services.get(index).or_else(|| route.services.first());
+        entry.map_or_else(
             || self.settings.service.clone(),
-            |part| part.service.clone(),
+            |entry| entry.service.clone(),
         )
     }
 
-    pub(super) fn budget<F, T>(&self, service: &ServiceName, use_it: F) -> T
+    pub(super) fn with_budget<F, T>(&self, service: &ServiceName, operation: F) -> T
     where
         F: FnOnce(&mut RetryBudget, Moment) -> T,
     {
@@ -172,39 +172,44 @@
         let budget = budgets.entry(service.clone()).or_insert_with(|| {
             RetryBudget::new(bounds.retry_ratio, bounds.retry_window, bounds.retry_slack)
         });
-        use_it(budget, clock::now())
+        operation(budget, clock::now())
     }
 
-    async fn place(&self, intake: &Intake) -> Response<Bytes> {
-        let job = &intake.job;
+    async fn place(&self, incoming: &IncomingRequest) -> Response<Bytes> {
+        let job = &incoming.job;
         let mut attempts = Attempts::new();
         loop {
             let now = clock::now();
-            if intake.due.since(now) < WORTHWHILE {
+            if incoming.deadline.since(now) < MIN_ATTEMPT_TIME {
                 break;
             }
             let view = self.board.view();
-            let next = match attempts.named.take() {
-                Some(node) => Place::Node(node),
-                None => placing::next(now, &view, &self.chooser, job, &attempts.tried),
+            let next = match attempts.hinted_owner.take() {
+                Some(node) => Placement::Node(node),
+                None => {
+                    placement::choose_node(now, &view, &self.balancer, job, &attempts.tried_nodes)
+                }
             };
             let node = match next {
-                Place::Node(node) => node,
-                Place::NoOwner => {
-                    attempts.refusal = (RefusalReason::NotOwner, NOWHERE);
+                Placement::Node(node) => node,
+                Placement::NoOwner => {
+                    attempts.last_refusal = (RefusalReason::NotOwner, RETRY_AFTER_NO_SERVER);
                     if self.wait_for_owner(job, &mut attempts).await {
                         continue;
                     }
                     break;
                 }
-                Place::Nowhere => break,
+                Placement::NoNode => break,
             };
             let report = self.attempt(job, &node).await;
-            if !self.go_on(intake, &mut attempts, node, report).await {
+            if !self
+                .handle_report(incoming, &mut attempts, node, report)
+                .await
+            {
                 break;
             }
         }
-        self.conclude(intake, attempts)
+        self.final_response(incoming, attempts)
     }
 
     /// Waits a little for a key's next owner; tells whether it is worth looking again.
@@ -215,61 +220,64 @@
         let now = clock::now();
         let view = self.board.view();
         let directory = &view.directory;
-        let span = || {
+        let max_wait = || {
             let waits = self.owner_waits.borrow();
             let left = job.deadline.since(now);
             (now, waits.max_wait(now, directory, &job.service, key, left))
         };
-        let (since, span) = *attempts.owner_wait.get_or_insert_with(span);
-        if now >= since + span {
+        let (since, max_wait) = *attempts.owner_wait.get_or_insert_with(max_wait);
+        if now >= since + max_wait {
             let mut waits = self.owner_waits.borrow_mut();
-            waits.record_timeout(now, directory, &job.service, key, span);
+            waits.record_timeout(now, directory, &job.service, key, max_wait);
             return false;
         }
-        attempts.words = 0;
+        attempts.hints_followed = 0;
         // Either the table changes, or the same look is repeated a little later.
-        tokio::time::timeout(OWNER_LOOK, self.board.changed())
+        tokio::time::timeout(OWNER_POLL_INTERVAL, self.board.changed())
             .await
             .ok();
         true
     }
 
-    async fn attempt(&self, job: &Job, node: &NodeName) -> Report {
-        if *node == self.me {
+    async fn attempt(&self, job: &Job, node: &NodeName) -> AttemptReport {
+        if *node == self.node_name {
             return self.egress.serve(job).await;
         }
         let view = self.board.view();
         let Some(entry) = view.directory.members.get(node) else {
-            return Report::bare(Outcome::NotRun(RefusalReason::NodeAway, NOWHERE));
+            return AttemptReport::new(Outcome::NotRun(
+                RefusalReason::NodeAway,
+                RETRY_AFTER_NO_SERVER,
+            ));
         };
-        self.chooser.borrow_mut().record_sent(node);
+        self.balancer.borrow_mut().record_sent(node);
         let sending = self.hops.send(entry.member.traffic, job);
         let report = tokio::select! {
             report = sending => report,
-            () = placing::silence(&self.board, &self.hops, node) => {
-                Report::bare(Outcome::Lost(Lost::Broken))
+            () = placement::wait_unreachable(&self.board, &self.hops, node) => {
+                AttemptReport::new(Outcome::Lost(LostReason::Broken))
             }
         };
         if let Outcome::NotRun(RefusalReason::NoDocument, _) = report.outcome
-            && let Some(own) = view.directory.members.get(&self.me)
+            && let Some(own) = view.directory.members.get(&self.node_name)
         {
             let (to, own) = (entry.member.traffic, own.member.traffic);
             let hops = Rc::clone(&self.hops);
-            tokio::task::spawn_local(async move { hops.introduce(to, own).await });
+            tokio::task::spawn_local(async move { hops.announce_intent_source(to, own).await });
         }
         let now = clock::now();
-        let mut chooser = self.chooser.borrow_mut();
+        let mut balancer = self.balancer.borrow_mut();
         let failed = match &report.outcome {
-            Outcome::Answered(answer) => answer.status().is_server_error(),
+            Outcome::Answered(response) => response.status().is_server_error(),
             Outcome::NotRun(reason, _) => *reason == RefusalReason::ServerRefused,
             Outcome::Lost(lost) => !lost.is_timeout(),
         };
-        chooser.record_ended(now, node, report.load, failed);
-        if let Outcome::Answered(answer) = &report.outcome {
-            chooser.record_response_size(&job.route, answer.body().len());
+        balancer.record_ended(now, node, report.load, failed);
+        if let Outcome::Answered(response) = &report.outcome {
+            balancer.record_response_size(&job.route, response.body().len());
         }
         if report.load.is_none() {
-            chooser.record_unreachable(now, node);
+            balancer.record_unreachable(now, node);
         }
         report
     }
--- a/crates/rack/src/traffic/ingress/pipeline.rs
+++ b/crates/rack/src/traffic/ingress/pipeline.rs
@@ -23,9 +23,9 @@
 
 /// How many requests of one connection are worked on at once: clients send a few behind one another,
 /// and more would let one connection take what others wait for.
-const MOST_BEGUN: usize = 8;
+const MAX_EARLY_REQUESTS: usize = 8;
 /// How often a head that takes too long is looked at while an answer before it is on its way.
-const ANSWER_LOOK: Duration = Duration::from_millis(100);
+const SLOW_HEAD_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Begins the requests of one connection as they come, while the HTTP library answers them one after
 /// the other, in their order.
@@ -35,26 +35,26 @@
 pub(super) struct Pipeline {
     ingress: Rc<Ingress>,
     scanner: RefCell<RequestScanner>,
-    begun: RefCell<BTreeMap<u64, Begun>>,
+    early_requests: RefCell<BTreeMap<u64, EarlyRequest>>,
     /// How many requests the library has passed on.
-    taken: Cell<u64>,
-    first: Notify,
+    received: Cell<u64>,
+    first_received: Notify,
     /// How many of them are answered.
     answered: Cell<u64>,
     /// The place of the request whose head has begun and not ended, and since when.
-    head: Cell<Option<(u64, Moment)>>,
-    head_begun: Notify,
+    partial_head: Cell<Option<(u64, Moment)>>,
+    head_started: Notify,
 }
 
 /// Is a request that was begun ahead of its turn; dropped, it is given up, also at its server.
-struct Begun {
+struct EarlyRequest {
     parts: Parts,
-    answer: JoinHandle<Response<Bytes>>,
+    response: JoinHandle<Response<Bytes>>,
 }
 
-impl Drop for Begun {
+impl Drop for EarlyRequest {
     fn drop(&mut self) {
-        self.answer.abort();
+        self.response.abort();
     }
 }
 
@@ -63,37 +63,38 @@
         Rc::new(Self {
             ingress,
             scanner: RefCell::default(),
-            begun: RefCell::default(),
-            taken: Cell::default(),
-            first: Notify::new(),
+            early_requests: RefCell::default(),
+            received: Cell::default(),
+            first_received: Notify::new(),
             answered: Cell::default(),
-            head: Cell::default(),
-            head_begun: Notify::new(),
+            partial_head: Cell::default(),
+            head_started: Notify::new(),
         })
     }
 
     /// Looks at what the client sent, before the library does.
-    pub(super) fn look(&self, bytes: &[u8]) {
-        let heads = self.scanner.borrow_mut().feed(bytes);
-        self.follow_head();
+    pub(super) fn scan(&self, bytes: &[u8]) {
+        let heads = self.scanner.borrow_mut().scan(bytes);
+        self.track_head();
         for head in heads {
-            self.begin(head);
+            self.start_early(head);
         }
     }
 
-    fn follow_head(&self) {
-        let unfinished = self.scanner.borrow().unfinished();
-        let known = self.head.get().map(|(place, _)| place);
-        if unfinished != known {
-            self.head.set(unfinished.map(|place| (place, clock::now())));
-            self.head_begun.notify_one();
+    fn track_head(&self) {
+        let partial_request = self.scanner.borrow().partial_request();
+        let tracked = self.partial_head.get().map(|(number, _)| number);
+        if partial_request != tracked {
+            self.partial_head
+                .set(partial_request.map(|number| (number, clock::now())));
+            self.head_started.notify_one();
         }
     }
 
     /// Waits until the library has passed on the first request.
-    pub(super) async fn first_taken(&self) {
-        if self.taken.get() == 0 {
-            self.first.notified().await;
+    pub(super) async fn wait_first_request(&self) {
+        if self.received.get() == 0 {
+            self.first_received.notified().await;
         }
     }
 
@@ -103,65 +104,65 @@
     /// The HTTP library has one timer for a head and for the rest between two requests. By that alone a
     /// client that sends a byte now and then would hold its connection for the idle time, again and
     /// again for each head, and enough of them would use up the descriptors.
-    pub(super) async fn slow_head(&self, limit: Duration) {
+    pub(super) async fn wait_slow_head(&self, limit: Duration) {
         loop {
-            let Some((_, since)) = self.head.get() else {
-                self.head_begun.notified().await;
+            let Some((_, since)) = self.partial_head.get() else {
+                self.head_started.notified().await;
                 continue;
             };
             let left = (since + limit).since(clock::now());
-            let busy = self.answered.get() < self.taken.get();
+            let busy = self.answered.get() < self.received.get();
             match (left.is_zero(), busy) {
                 (true, false) => return,
-                (true, true) => tokio::time::sleep(ANSWER_LOOK).await,
+                (true, true) => tokio::time::sleep(SLOW_HEAD_POLL_INTERVAL).await,
                 (false, _) => tokio::time::sleep(left).await,
             }
         }
     }
 
     /// Answers the next request that the library has read.
-    pub(super) async fn answer(&self, request: Request<Incoming>) -> Response<Bytes> {
-        let number = self.taken.get();
-        self.taken.set(number + 1);
-        self.first.notify_one();
+    pub(super) async fn respond(&self, request: Request<Incoming>) -> Response<Bytes> {
+        let number = self.received.get();
+        self.received.set(number + 1);
+        self.first_received.notify_one();
         let (parts, body) = request.into_parts();
-        let begun = self.begun.borrow_mut().remove(&number);
-        let answer = match begun {
-            Some(mut begun) if is_same(&begun.parts, &parts) => (&mut begun.answer).await.ok(),
+        let early = self.early_requests.borrow_mut().remove(&number);
+        let response = match early {
+            Some(mut early) if is_same(&early.parts, &parts) => (&mut early.response).await.ok(),
             Some(_) => {
                 // The library reads these bytes differently, and it decides.
                 self.scanner.borrow_mut().stop();
-                self.begun.borrow_mut().clear();
+                self.early_requests.borrow_mut().clear();
                 None
             }
             None => None,
         };
-        let answer = match answer {
-            Some(answer) => answer,
+        let response = match response {
+            Some(response) => response,
             None => self.ingress.serve(parts, body).await,
         };
         self.answered.set(self.answered.get() + 1);
-        answer
+        response
     }
 
     /// Begins a request that would have to wait for the answers before it. Only work that may be
     /// repeated: the client sends again what stood behind an answer that closes the connection.
-    fn begin(&self, head: ScannedHead) {
-        let waits = head.number > self.answered.get();
-        let room = self.begun.borrow().len() < MOST_BEGUN;
-        if !waits || !room || !self.ingress.is_repeatable(&head.parts) {
+    fn start_early(&self, head: ScannedHead) {
+        let must_wait = head.number > self.answered.get();
+        let has_room = self.early_requests.borrow().len() < MAX_EARLY_REQUESTS;
+        if !must_wait || !has_room || !self.ingress.is_repeatable(&head.parts) {
             return;
         }
         let (ingress, parts) = (Rc::clone(&self.ingress), head.parts.clone());
-        let answer =
+        let response =
             tokio::task::spawn_local(
                 async move { ingress.serve(parts, Empty::<Bytes>::new()).await },
             );
-        let begun = Begun {
+        let early = EarlyRequest {
             parts: head.parts,
-            answer,
+            response,
         };
-        self.begun.borrow_mut().insert(head.number, begun);
+        self.early_requests.borrow_mut().insert(head.number, early);
     }
 }
 
--- a/crates/rack/src/traffic/ingress/placing.rs
+++ b/crates/rack/src/traffic/ingress/placement.rs
@@ -15,43 +15,44 @@
 use crate::traffic::job::Job;
 
 /// How soon a node that is reached though the leader does not hear it is tried again.
-const LOOK_AGAIN: Duration = Duration::from_millis(500);
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How many connections in a row must fail to open: a busy host whose queue of connections is full drops
 /// an opening packet, and still answers what it works on.
-const UNREACHED: u32 = 2;
+const MAX_FAILED_PROBES: u32 = 2;
 
 /// Says where a job can go.
-pub(super) enum Place {
+pub(super) enum Placement {
     /// To this node.
     Node(NodeName),
     /// Its key has no owner now.
     NoOwner,
     /// No node is left to try.
-    Nowhere,
+    NoNode,
 }
 
 /// Chooses the next node for a job.
-pub(super) fn next(
+pub(super) fn choose_node(
     now: Moment,
     view: &NodeView,
-    chooser: &RefCell<LoadBalancer>,
+    balancer: &RefCell<LoadBalancer>,
     job: &Job,
-    tried: &[NodeName],
-) -> Place {
+    tried_nodes: &[NodeName],
+) -> Placement {
     let config = view.intent.config.as_ref();
     let keyed = config.and_then(|config| config.services.get(&job.service));
     match job.key {
         Some(key) if keyed.is_some_and(|service| service.keyed) => {
             match view.directory.owner(&job.service, key) {
-                Some(owner) => Place::Node(owner.clone()),
-                None => Place::NoOwner,
+                Some(owner) => Placement::Node(owner.clone()),
+                None => Placement::NoOwner,
             }
         }
         _ => {
-            let mut chooser = chooser.borrow_mut();
-            let chosen = chooser.choose(now, &view.directory, &job.service, &job.route, tried);
-            chosen.map_or(Place::Nowhere, Place::Node)
+            let mut balancer = balancer.borrow_mut();
+            let chosen =
+                balancer.choose(now, &view.directory, &job.service, &job.route, tried_nodes);
+            chosen.map_or(Placement::NoNode, Placement::Node)
         }
     }
 }
@@ -60,23 +61,23 @@
 ///
 /// That the leader does not hear it is a hint only: beats are lost, and leaders change. A request
 /// that was given up for the hint alone would be cut while its server works on it.
-pub(super) async fn silence(board: &Arc<Board>, hops: &HopClient, node: &NodeName) {
-    let mut failed = 0;
+pub(super) async fn wait_unreachable(board: &Arc<Board>, hops: &HopClient, node: &NodeName) {
+    let mut failed_probes = 0;
     loop {
         let view = board.view();
         let entry: Option<&DirectoryEntry> = view.directory.members.get(node);
         let Some(entry) = entry.filter(|entry| !entry.responsive) else {
-            failed = 0;
+            failed_probes = 0;
             board.changed().await;
             continue;
         };
-        failed = match hops.reaches(entry.member.traffic).await {
+        failed_probes = match hops.is_reachable(entry.member.traffic).await {
             true => 0,
-            false => failed + 1,
+            false => failed_probes + 1,
         };
-        if failed >= UNREACHED {
+        if failed_probes >= MAX_FAILED_PROBES {
             return;
         }
-        tokio::time::sleep(LOOK_AGAIN).await;
+        tokio::time::sleep(PROBE_INTERVAL).await;
     }
 }
--- /dev/null
+++ b/crates/rack/src/traffic/ingress/retrying.rs
@@ -0,0 +1,180 @@
+//! What follows from an attempt: another one, or the final answer.
+
+use bytes::Bytes;
+use http::Response;
+use http::StatusCode;
+use quetzalrack_core::ids::NodeName;
+use quetzalrack_mesh::traffic::OwnerHint;
+use quetzalrack_mesh::traffic::RefusalReason;
+use quetzalrack_mesh::traffic::retry::RetryBudget;
+
+use super::Ingress;
+use super::attempts::Attempts;
+use super::client_response::empty_response;
+use super::client_response::not_run_response;
+use super::incoming_request::IncomingRequest;
+use super::ingress_node::MIN_ATTEMPT_TIME;
+use crate::clock;
+use crate::traffic::job::Job;
+use crate::traffic::outcome::AttemptReport;
+use crate::traffic::outcome::Outcome;
+
+/// How many nodes are asked for one job: each refusal costs a way to and fro, and after three the
+/// service is full everywhere.
+const MAX_TRIED_NODES: usize = 4;
+
+/// How many words of refusing nodes are followed one after the other: two nodes with old tables could
+/// name each other for ever.
+const MAX_OWNER_HINTS: u32 = 2;
+
+impl Ingress {
+    /// Learns from an attempt; tells whether another one is to follow.
+    pub(super) async fn handle_report(
+        &self,
+        incoming: &IncomingRequest,
+        attempts: &mut Attempts,
+        node: NodeName,
+        report: AttemptReport,
+    ) -> bool {
+        let job = &incoming.job;
+        let repeatable = job.kind.is_repeatable();
+        match report.outcome {
+            Outcome::Answered(response) => {
+                self.count_sent(job, attempts);
+                let failed = response.status().is_server_error();
+                attempts.failed_response = Some(response);
+                failed && repeatable && self.start_retry(incoming, attempts, node, "server_failed")
+            }
+            Outcome::Lost(lost) => {
+                self.count_sent(job, attempts);
+                attempts.lost = Some(lost);
+                repeatable
+                    && !lost.is_timeout()
+                    && self.start_retry(incoming, attempts, node, "lost")
+            }
+            Outcome::NotRun(reason @ RefusalReason::ServerRefused, retry_after) => {
+                self.count_sent(job, attempts);
+                attempts.last_refusal = (reason, retry_after);
+                self.start_retry(incoming, attempts, node, "server_refused")
+            }
+            Outcome::NotRun(reason, retry_after) => {
+                attempts.last_refusal = (reason, retry_after);
+                if job.key.is_some()
+                    && reason != RefusalReason::Full
+                    && reason != RefusalReason::Expired
+                {
+                    if self.follow_owner_hint(attempts, &node, report.owner) {
+                        return true;
+                    }
+                    // The table is behind; the owner of the key is known soon.
+                    return self.wait_for_owner(job, attempts).await;
+                }
+                attempts.tried_nodes.push(node);
+                reason != RefusalReason::Expired && attempts.tried_nodes.len() < MAX_TRIED_NODES
+            }
+        }
+    }
+
+    /// Takes the owner that a refusing node names for the next one to try, if it knows more than this node.
+    fn follow_owner_hint(
+        &self,
+        attempts: &mut Attempts,
+        refusing_node: &NodeName,
+        hint: Option<OwnerHint>,
+    ) -> bool {
+        let view = self.board.view();
+        let is_newer_hint =
+            |hint: &OwnerHint| hint.node != *refusing_node && hint.is_newer(&view.directory);
+        let Some(hint) = hint.filter(is_newer_hint) else {
+            return false;
+        };
+        attempts.hints_followed += 1;
+        attempts.hinted_owner =
+            Some(hint.node).filter(|_| attempts.hints_followed <= MAX_OWNER_HINTS);
+        attempts.hinted_owner.is_some()
+    }
+
+    /// Counts an attempt that has reached a server.
+    fn count_sent(&self, job: &Job, attempts: &mut Attempts) {
+        attempts.sent_count += 1;
+        if attempts.sent_count == 1 {
+            self.with_budget(&job.service, RetryBudget::deposit);
+        }
+    }
+
+    /// Takes a second attempt out of the budget, if the route, the time and the budget allow one.
+    fn start_retry(
+        &self,
+        incoming: &IncomingRequest,
+        attempts: &mut Attempts,
+        node: NodeName,
+        why: &str,
+    ) -> bool {
+        let in_time = incoming.deadline.since(clock::now()) >= MIN_ATTEMPT_TIME;
+        let allowed = attempts.sent_count < incoming.route.attempts && in_time;
+        let nodes = self.board.view().directory.members.len();
+        if !allowed
+            || !self.with_budget(&incoming.job.service, |budget, now| {
+                budget.withdraw(now, nodes)
+            })
+        {
+            return false;
+        }
+        self.metrics.retried(why);
+        log::info!(
+            event = "retry", id = incoming.job.log_id(), why = why, node = node.as_str(),
+            sent = attempts.sent_count, left_ms = incoming.deadline.since(clock::now()).as_millis() as u64; ""
+        );
+        attempts.tried_nodes.push(node);
+        true
+    }
+
+    /// Gives the final answer, at once.
+    pub(super) fn final_response(
+        &self,
+        incoming: &IncomingRequest,
+        attempts: Attempts,
+    ) -> Response<Bytes> {
+        if let Some(response) = attempts.failed_response {
+            if !response.status().is_success() {
+                self.log_unserved(
+                    incoming,
+                    "server_failed",
+                    response.status(),
+                    attempts.sent_count,
+                );
+            }
+            return response;
+        }
+        let (reason, retry_after) = attempts.last_refusal;
+        // Only a request that no server can have run is refused with a promise.
+        let (why, response) = match attempts.lost {
+            Some(lost) if lost.is_timeout() => {
+                (lost.name(), empty_response(StatusCode::GATEWAY_TIMEOUT))
+            }
+            Some(lost) => (lost.name(), empty_response(StatusCode::BAD_GATEWAY)),
+            None => (reason.name(), not_run_response(retry_after)),
+        };
+        self.log_unserved(incoming, why, response.status(), attempts.sent_count);
+        response
+    }
+
+    pub(super) fn log_unserved(
+        &self,
+        incoming: &IncomingRequest,
+        why: &str,
+        status: StatusCode,
+        sent: u32,
+    ) {
+        let job = &incoming.job;
+        let view = self.board.view();
+        log::info!(
+            event = "not_served", id = job.log_id(), why = why, status = status.as_u16(),
+            route = job.route.as_str(), service = job.service.as_str(), sent = sent,
+            key = job.key.map_or(-1, i64::from), left_ms = incoming.deadline.since(clock::now()).as_millis() as u64,
+            config = view.intent.config.as_ref().map_or(0, |config| config.version),
+            confirmed_ms = clock::now().since(view.confirmed).as_millis() as u64,
+            epoch = view.directory.epoch.0, owners = view.directory.owners_version; ""
+        );
+    }
+}
--- a/crates/rack/src/traffic/job.rs
+++ b/crates/rack/src/traffic/job.rs
@@ -28,7 +28,7 @@
     /// The service that is to run it.
     pub(super) service: ServiceName,
     /// The service of the host on which it began.
-    pub(super) origin: ServiceName,
+    pub(super) caller: ServiceName,
     /// Its route.
     pub(super) route: RouteName,
     /// Its rank.
@@ -43,7 +43,7 @@
 
 impl Job {
     /// Returns the attempt's id as text, for the log.
-    pub(super) fn name(&self) -> &str {
+    pub(super) fn log_id(&self) -> &str {
         self.id
             .as_ref()
             .and_then(|id| id.to_str().ok())
--- a/crates/rack/src/traffic/outcome.rs
+++ b/crates/rack/src/traffic/outcome.rs
@@ -11,7 +11,7 @@
 
 /// Says why a request that was sent to a backend server has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Lost {
+pub(super) enum LostReason {
     /// The connection broke, or the answer did.
     Broken,
     /// The answer was not this request's, or no server's.
@@ -28,21 +28,21 @@
     /// It surely did not run; there may be room after the time.
     NotRun(RefusalReason, Duration),
     /// It may have run.
-    Lost(Lost),
+    Lost(LostReason),
 }
 
 /// Is an outcome with what the node told along with it.
 #[derive(Clone, Debug)]
-pub(super) struct Report {
+pub(super) struct AttemptReport {
     pub(super) outcome: Outcome,
     pub(super) load: Option<NodeLoad>,
     /// Who owns the key by the table of the node that refused.
     pub(super) owner: Option<OwnerHint>,
 }
 
-impl Report {
+impl AttemptReport {
     /// Makes a report of a node that told nothing else.
-    pub(super) fn bare(outcome: Outcome) -> Self {
+    pub(super) fn new(outcome: Outcome) -> Self {
         Self {
             outcome,
             load: None,
@@ -51,7 +51,7 @@
     }
 }
 
-impl Lost {
+impl LostReason {
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::Broken => "broken",
@@ -61,17 +61,20 @@
     }
 }
 
-impl fmt::Display for Lost {
+impl fmt::Display for LostReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.name())
     }
 }
 
-impl std::str::FromStr for Lost {
+impl std::str::FromStr for LostReason {
     type Err = ();
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let all = [Self::Broken, Self::Foreign, Self::TimedOut];
-        all.into_iter().find(|lost| lost.name() == text).ok_or(())
+        let reasons = [Self::Broken, Self::Foreign, Self::TimedOut];
+        reasons
+            .into_iter()
+            .find(|reason| reason.name() == text)
+            .ok_or(())
     }
 }
--- a/crates/rack/src/traffic/traffic_node.rs
+++ b/crates/rack/src/traffic/traffic_node.rs
@@ -15,8 +15,8 @@
 use super::hop::HopServer;
 use super::ingress::ClientPort;
 use super::ingress::Ingress;
+use super::wire::ActiveCounter;
 use super::wire::LinkPacer;
-use super::wire::OpenCount;
 use super::wire::listen;
 use crate::clock;
 use crate::metrics::Metrics;
@@ -24,15 +24,15 @@
 use crate::shared::Board;
 
 /// How often the load is counted for the control thread, which sends it on with its beats.
-const REPORT: Duration = Duration::from_millis(200);
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// How long clients still come after SIGTERM: the platform asks once a second and takes two misses.
-pub(super) const CLIENTS_LEAVE: Duration = Duration::from_millis(2_300);
+pub(super) const CLIENT_DRAIN_TIME: Duration = Duration::from_millis(2_300);
 /// How long other nodes still send jobs after that; they learn within a beat that this one leaves.
-const NODES_LEAVE: Duration = Duration::from_millis(500);
+const PEER_DRAIN_TIME: Duration = Duration::from_millis(500);
 /// How much of the time until SIGKILL is left unused.
-const SPARE: Duration = Duration::from_millis(400);
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(400);
 /// How often a leaving process looks whether its work is done.
-const LOOK: Duration = Duration::from_millis(20);
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Is what the traffic thread needs.
 pub struct TrafficSettings {
@@ -50,16 +50,16 @@
 pub struct TrafficNode {
     settings: TrafficSettings,
     board: Arc<Board>,
-    page: Arc<Metrics>,
+    metrics: Arc<Metrics>,
 }
 
 impl TrafficNode {
     /// Makes the traffic side of a node.
-    pub fn new(settings: TrafficSettings, board: Arc<Board>, page: Arc<Metrics>) -> Self {
+    pub fn new(settings: TrafficSettings, board: Arc<Board>, metrics: Arc<Metrics>) -> Self {
         Self {
             settings,
             board,
-            page,
+            metrics,
         }
     }
 
@@ -80,7 +80,7 @@
             match listen(address) {
                 Ok(listener) => drop(tokio::task::spawn_local(serve_metrics(
                     listener,
-                    Arc::clone(&self.page),
+                    Arc::clone(&self.metrics),
                 ))),
                 // A node without its page serves all the same.
                 Err(error) => log::error!(event = "no_metrics_page"; "{error}"),
@@ -89,7 +89,7 @@
         let pacer = host.link.map(LinkPacer::spawn);
         let egress = Egress::new(
             Arc::clone(&self.board),
-            Arc::clone(&self.page),
+            Arc::clone(&self.metrics),
             host.service.clone(),
             host.zone.clone(),
             host.bounds,
@@ -98,95 +98,103 @@
         let ingress = Ingress::new(
             host.clone(),
             Arc::clone(&self.board),
-            Arc::clone(&self.page),
+            Arc::clone(&self.metrics),
             Rc::clone(&egress),
             pacer.clone(),
             self.settings.seed,
         );
-        let (close, closing) = watch::channel(false);
-        let (close_hops, hops_closing) = watch::channel(false);
-        let (last, none_after) = watch::channel(false);
-        let leaving = Leaving {
+        let (close_clients, clients_closing) = watch::channel(false);
+        let (close_peers, peers_closing) = watch::channel(false);
+        let (stop_accepting, accepting_stopped) = watch::channel(false);
+        let shutdown = Shutdown {
             egress: Rc::clone(&egress),
             ingress: Rc::clone(&ingress),
-            close,
-            last,
-            clients: OpenCount::default(),
-            close_hops,
-            hops: OpenCount::default(),
+            close_clients,
+            stop_accepting,
+            client_connections: ActiveCounter::default(),
+            close_peers,
+            peer_connections: ActiveCounter::default(),
         };
         let port = ClientPort {
             ingress: Rc::clone(&ingress),
             board: Arc::clone(&self.board),
-            closing,
+            closing: clients_closing,
             pacer: pacer.clone(),
-            open: leaving.clients.clone(),
+            connections: shutdown.client_connections.clone(),
         };
-        tokio::task::spawn_local(port.run(clients, none_after));
-        let hops = HopServer {
+        tokio::task::spawn_local(port.run(clients, accepting_stopped));
+        let hop_server = HopServer {
             egress: Rc::clone(&egress),
             board: Arc::clone(&self.board),
             pacer,
-            open: leaving.hops.clone(),
-            closing: hops_closing,
+            connections: shutdown.peer_connections.clone(),
+            closing: peers_closing,
         };
-        tokio::task::spawn_local(hops.run(peers));
+        tokio::task::spawn_local(hop_server.run(peers));
         while !self.board.is_leaving() {
             self.board.set_report(egress.report());
-            tokio::time::sleep(REPORT).await;
+            tokio::time::sleep(REPORT_INTERVAL).await;
         }
-        self.leave(&leaving).await;
+        self.shut_down(&shutdown).await;
         Ok(())
     }
 
     /// Finishes everything: clients go first, then other nodes, and nothing is cut.
-    async fn leave(&self, leaving: &Leaving) {
+    async fn shut_down(&self, shutdown: &Shutdown) {
         let since = clock::now();
-        let end = since + self.settings.host.bounds.grace.saturating_sub(SPARE);
-        wait_until(since + CLIENTS_LEAVE).await;
+        let end = since
+            + self
+                .settings
+                .host
+                .bounds
+                .grace
+                .saturating_sub(SHUTDOWN_MARGIN);
+        wait_until(since + CLIENT_DRAIN_TIME).await;
         // Nobody listens if every connection has ended.
-        leaving.close.send(true).ok();
-        wait_until(since + CLIENTS_LEAVE + NODES_LEAVE).await;
-        leaving.egress.close();
-        while clock::now() < end && leaving.is_busy() {
-            tokio::time::sleep(LOOK).await;
+        shutdown.close_clients.send(true).ok();
+        wait_until(since + CLIENT_DRAIN_TIME + PEER_DRAIN_TIME).await;
+        shutdown.egress.close();
+        while clock::now() < end && shutdown.is_busy() {
+            tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
         }
         // Whoever connects from now on is told that nobody listens, and not cut in the middle.
-        leaving.last.send(true).ok();
+        shutdown.stop_accepting.send(true).ok();
         // Answers to other nodes may still wait for the link: their connections end after them.
-        leaving.close_hops.send(true).ok();
+        shutdown.close_peers.send(true).ok();
         loop {
             // What was accepted last counts only once it has run for the first time.
-            tokio::time::sleep(LOOK).await;
-            let busy = leaving.is_busy() || leaving.hops.get() > 0;
+            tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
+            let busy = shutdown.is_busy() || shutdown.peer_connections.count() > 0;
             if !busy || clock::now() >= end {
                 break;
             }
         }
         log::info!(
-            event = "traffic_ends", clients = leaving.ingress.running(),
-            jobs = leaving.egress.running(), connections = leaving.clients.get(),
-            nodes = leaving.hops.get(), after_ms = clock::now().since(since).as_millis() as u64; ""
+            event = "traffic_ends", clients = shutdown.ingress.running_count(),
+            jobs = shutdown.egress.running_count(), connections = shutdown.client_connections.count(),
+            nodes = shutdown.peer_connections.count(), after_ms = clock::now().since(since).as_millis() as u64; ""
         );
     }
 }
 
 /// Is what is still to be finished by a process that leaves.
-struct Leaving {
+struct Shutdown {
     egress: Rc<Egress>,
     ingress: Rc<Ingress>,
-    close: watch::Sender<bool>,
+    close_clients: watch::Sender<bool>,
     /// Turns true when no more clients are accepted.
-    last: watch::Sender<bool>,
-    clients: OpenCount,
-    close_hops: watch::Sender<bool>,
-    hops: OpenCount,
+    stop_accepting: watch::Sender<bool>,
+    client_connections: ActiveCounter,
+    close_peers: watch::Sender<bool>,
+    peer_connections: ActiveCounter,
 }
 
-impl Leaving {
+impl Shutdown {
     /// Tells whether requests are worked on, or answers to clients written.
     fn is_busy(&self) -> bool {
-        self.ingress.running() > 0 || self.egress.running() > 0 || self.clients.get() > 0
+        self.ingress.running_count() > 0
+            || self.egress.running_count() > 0
+            || self.client_connections.count() > 0
     }
 }
 
--- a/crates/rack/src/traffic/wire/link_pacer.rs
+++ b/crates/rack/src/traffic/wire/link_pacer.rs
@@ -15,7 +15,7 @@
 
 /// The shortest sleep between two turns; a timer that fires more often would cost more processor
 /// time than it is worth.
-const SHORTEST: Duration = Duration::from_millis(1);
+const MIN_SLEEP: Duration = Duration::from_millis(1);
 
 /// Runs the queue of long messages for the connections that leave the host.
 #[derive(Debug)]
@@ -38,42 +38,42 @@
     }
 
     /// Gives a long message its place.
-    pub(super) fn begin(&self) -> MessageId {
+    pub(super) fn add(&self) -> MessageId {
         self.queue.borrow_mut().add()
     }
 
     /// Returns how many bytes of a message may be written now; else `waker` is woken at its turn.
-    pub(super) fn ask(&self, turn: MessageId, waker: &Waker) -> Option<usize> {
-        let allowed = self.queue.borrow_mut().request_write(clock::now(), turn);
+    pub(super) fn request_write(&self, message: MessageId, waker: &Waker) -> Option<usize> {
+        let allowed = self.queue.borrow_mut().request_write(clock::now(), message);
         if allowed.is_none() {
-            self.wakers.borrow_mut().insert(turn, waker.clone());
+            self.wakers.borrow_mut().insert(message, waker.clone());
             self.changed.notify_one();
         }
         allowed
     }
 
     /// Counts bytes that were written.
-    pub(super) fn spend(&self, bytes: usize) {
+    pub(super) fn record_written(&self, bytes: usize) {
         self.queue.borrow_mut().record_written(clock::now(), bytes);
     }
 
     /// Takes a message out of the queue.
-    pub(super) fn leave(&self, turn: MessageId) {
-        self.queue.borrow_mut().remove(turn);
-        self.wakers.borrow_mut().remove(&turn);
+    pub(super) fn remove(&self, message: MessageId) {
+        self.queue.borrow_mut().remove(message);
+        self.wakers.borrow_mut().remove(&message);
         self.changed.notify_one();
     }
 
     async fn run(self: Rc<Self>) {
         loop {
             let next = self.queue.borrow_mut().next(clock::now());
-            let waker = next.and_then(|(turn, wait)| {
-                let waker = self.wakers.borrow_mut().remove(&turn)?;
+            let waker = next.and_then(|(message, wait)| {
+                let waker = self.wakers.borrow_mut().remove(&message)?;
                 Some((wait, waker))
             });
             match waker {
                 Some((wait, waker)) => {
-                    tokio::time::sleep(wait.max(SHORTEST)).await;
+                    tokio::time::sleep(wait.max(MIN_SLEEP)).await;
                     waker.wake();
                 }
                 None => self.changed.notified().await,
--- a/crates/rack/src/traffic/wire/mod.rs
+++ b/crates/rack/src/traffic/wire/mod.rs
@@ -1,20 +1,20 @@
 //! Connections: to clients, to other nodes and to the backend server.
 
+mod active_counter;
 mod dial;
 mod link_pacer;
 mod listen;
-mod open_count;
 mod paced_stream;
 mod pool;
 mod request_scanner;
 mod watched_stream;
-mod write_gate;
+mod write_limiter;
 
+pub(super) use active_counter::ActiveCounter;
 pub(crate) use dial::DialError;
 pub(super) use dial::dial;
 pub(crate) use link_pacer::LinkPacer;
 pub(super) use listen::listen;
-pub(super) use open_count::OpenCount;
 pub(super) use paced_stream::PacedStream;
 pub(crate) use pool::ExchangeError;
 pub(crate) use pool::Pool;
@@ -22,5 +22,5 @@
 pub(super) use request_scanner::RequestScanner;
 pub(super) use request_scanner::ScannedHead;
 pub(super) use watched_stream::WatchedStream;
-pub(super) use write_gate::OpenGate;
-pub(super) use write_gate::WriteGate;
+pub(super) use write_limiter::Unlimited;
+pub(super) use write_limiter::WriteLimiter;
--- a/crates/rack/src/traffic/wire/paced_stream.rs
+++ b/crates/rack/src/traffic/wire/paced_stream.rs
@@ -15,7 +15,7 @@
 
 /// How many bytes of a message go at once, without a turn: all of a short answer, and the first
 /// packets of a long one.
-const AT_ONCE: usize = 4 * 1024;
+const UNPACED_BYTES: usize = 4 * 1024;
 
 /// Is a connection on which long messages wait for their turn on the link.
 ///
@@ -27,8 +27,8 @@
     pacer: Option<Rc<LinkPacer>>,
     /// How many bytes have been written since the far side last spoke: on a connection that carries
     /// one exchange at a time, that is one message.
-    written: usize,
-    turn: Option<MessageId>,
+    message_bytes: usize,
+    message_id: Option<MessageId>,
 }
 
 impl<S> PacedStream<S> {
@@ -37,38 +37,38 @@
         Self {
             inner,
             pacer,
-            written: 0,
-            turn: None,
+            message_bytes: 0,
+            message_id: None,
         }
     }
 
     fn end_message(&mut self) {
-        self.written = 0;
-        self.leave();
+        self.message_bytes = 0;
+        self.leave_queue();
     }
 
-    fn leave(&mut self) {
-        if let (Some(turn), Some(pacer)) = (self.turn.take(), &self.pacer) {
-            pacer.leave(turn);
+    fn leave_queue(&mut self) {
+        if let (Some(message_id), Some(pacer)) = (self.message_id.take(), &self.pacer) {
+            pacer.remove(message_id);
         }
     }
 
     /// Returns how many bytes may be written now.
-    fn allowance(&mut self, cx: &Context<'_>) -> Option<usize> {
+    fn write_allowance(&mut self, cx: &Context<'_>) -> Option<usize> {
         let Some(pacer) = &self.pacer else {
             return Some(usize::MAX);
         };
-        if self.written < AT_ONCE {
-            return Some(AT_ONCE - self.written);
+        if self.message_bytes < UNPACED_BYTES {
+            return Some(UNPACED_BYTES - self.message_bytes);
         }
-        let turn = *self.turn.get_or_insert_with(|| pacer.begin());
-        pacer.ask(turn, cx.waker())
+        let message_id = *self.message_id.get_or_insert_with(|| pacer.add());
+        pacer.request_write(message_id, cx.waker())
     }
 }
 
 impl<S> Drop for PacedStream<S> {
     fn drop(&mut self) {
-        self.leave();
+        self.leave_queue();
     }
 }
 
@@ -99,23 +99,23 @@
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let Some(allowed) = self.allowance(cx) else {
+        let Some(allowed) = self.write_allowance(cx) else {
             return Poll::Pending;
         };
-        let piece = buf.get(..buf.len().min(allowed)).unwrap_or(buf);
-        let wrote = Pin::new(&mut self.inner).poll_write(cx, piece);
-        if let Poll::Ready(Ok(count)) = &wrote {
-            self.written += count;
+        let chunk = buf.get(..buf.len().min(allowed)).unwrap_or(buf);
+        let written = Pin::new(&mut self.inner).poll_write(cx, chunk);
+        if let Poll::Ready(Ok(count)) = &written {
+            self.message_bytes += count;
             if let Some(pacer) = &self.pacer {
-                pacer.spend(*count);
+                pacer.record_written(*count);
             }
         }
         // What follows asks again, under the same number. If nothing follows, or the far side takes
         // no more for now, the others go on.
-        if let (Some(turn), Some(pacer)) = (self.turn, &self.pacer) {
-            pacer.leave(turn);
+        if let (Some(message_id), Some(pacer)) = (self.message_id, &self.pacer) {
+            pacer.remove(message_id);
         }
-        wrote
+        written
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/rack/src/traffic/wire/pool.rs
+++ b/crates/rack/src/traffic/wire/pool.rs
@@ -17,26 +17,26 @@
 use quetzalrack_core::time::Moment;
 use tokio::task::AbortHandle;
 
+use super::ActiveCounter;
 use super::LinkPacer;
-use super::OpenCount;
 use super::PacedStream;
-use super::WriteGate;
+use super::WriteLimiter;
 use super::dial::DialError;
 use super::dial::dial;
 use crate::clock;
 
 /// How often a busy pool is looked at for a free connection.
-const BUSY_LOOK: Duration = Duration::from_millis(5);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Bounds the connections to one address.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PoolLimits {
     /// How long opening one may take.
-    pub(crate) dial: Duration,
+    pub(crate) dial_timeout: Duration,
     /// How long an idle one is used again: the far side closes it some time later.
-    pub(crate) idle: Duration,
+    pub(crate) idle_timeout: Duration,
     /// How many are kept idle.
-    pub(crate) kept: usize,
+    pub(crate) max_idle: usize,
 }
 
 /// Says why an exchange brought no whole answer.
@@ -45,7 +45,7 @@
 pub(crate) enum ExchangeError {
     /// No connection could be opened; nothing was sent.
     #[error("no connection: {0}")]
-    Dial(#[from] DialError),
+    Connect(#[from] DialError),
     /// The connection broke, or brought bytes that are no answer; the request may have run.
     #[error("the connection broke: {0}")]
     Broken(#[from] hyper::Error),
@@ -56,13 +56,13 @@
 pub(crate) struct Pool {
     limits: PoolLimits,
     pacer: Option<Rc<LinkPacer>>,
-    idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<IdleEntry>>>,
     opened: RefCell<u64>,
-    open: OpenCount,
+    open: ActiveCounter,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleEntry {
     connection: Connection,
     since: Moment,
 }
@@ -76,24 +76,24 @@
 }
 
 /// Says what became of a request on one connection.
-enum Sent {
+enum SendOutcome {
     Answered(Response<Bytes>),
     /// The connection had ended; nothing was written.
     Unwritten(Request<Full<Bytes>>),
 }
 
 impl Connection {
-    async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Sent, ExchangeError> {
-        let answer = match self.sender.try_send_request(request).await {
-            Ok(answer) => answer,
+    async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<SendOutcome, ExchangeError> {
+        let response = match self.sender.try_send_request(request).await {
+            Ok(response) => response,
             Err(mut error) => match error.take_message() {
-                Some(unsent) => return Ok(Sent::Unwritten(unsent)),
+                Some(unsent) => return Ok(SendOutcome::Unwritten(unsent)),
                 None => return Err(error.into_error().into()),
             },
         };
-        let (head, body) = answer.into_parts();
+        let (head, body) = response.into_parts();
         let body = body.collect().await?.to_bytes();
-        Ok(Sent::Answered(Response::from_parts(head, body)))
+        Ok(SendOutcome::Answered(Response::from_parts(head, body)))
     }
 }
 
@@ -111,7 +111,7 @@
             pacer,
             idle: RefCell::default(),
             opened: RefCell::default(),
-            open: OpenCount::default(),
+            open: ActiveCounter::default(),
         })
     }
 
@@ -121,162 +121,164 @@
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-        idle: Duration,
-        gate: &dyn WriteGate,
-        is_kept: K,
+        idle_limit: Duration,
+        limiter: &dyn WriteLimiter,
+        is_reusable: K,
     ) -> Result<Response<Bytes>, ExchangeError>
     where
         K: FnOnce(&Response<Bytes>) -> bool,
     {
         let mut request = request;
         loop {
-            let mut connection = self.connect(address, idle).await?;
-            while let Some(wait) = gate.pass() {
+            let mut connection = self.take_or_open(address, idle_limit).await?;
+            while let Some(wait) = limiter.try_write() {
                 tokio::time::sleep(wait).await;
             }
             match connection.send(request).await? {
-                Sent::Answered(answer) => {
-                    if is_kept(&answer) {
-                        self.keep(address, connection);
+                SendOutcome::Answered(response) => {
+                    if is_reusable(&response) {
+                        self.put_back(address, connection);
                     }
-                    return Ok(answer);
+                    return Ok(response);
                 }
                 // Another connection may carry it.
-                Sent::Unwritten(unsent) => request = unsent,
+                SendOutcome::Unwritten(unsent) => request = unsent,
             }
         }
     }
 
     /// Sends a request that is written only once a connection is free, since its content depends on the
     /// time; none if it is too late by then, or if there is no connection that was opened before a moment.
-    pub(crate) async fn exchange_late<M>(
+    pub(crate) async fn exchange_deferred<M>(
         &self,
         address: SocketAddr,
         before: Option<Moment>,
-        make: M,
+        build_request: M,
     ) -> Result<Option<Response<Bytes>>, ExchangeError>
     where
         M: Fn() -> Option<Request<Full<Bytes>>>,
     {
         loop {
             let mut connection = match before {
-                None => self.connect(address, self.limits.idle).await?,
-                Some(before) => match self.older(address, before).await {
+                None => self.take_or_open(address, self.limits.idle_timeout).await?,
+                Some(before) => match self.wait_opened_before(address, before).await {
                     Some(connection) => connection,
                     None => return Ok(None),
                 },
             };
-            let Some(request) = make() else {
-                self.keep(address, connection);
+            let Some(request) = build_request() else {
+                self.put_back(address, connection);
                 return Ok(None);
             };
-            if let Sent::Answered(answer) = connection.send(request).await? {
-                self.keep(address, connection);
-                return Ok(Some(answer));
+            if let SendOutcome::Answered(response) = connection.send(request).await? {
+                self.put_back(address, connection);
+                return Ok(Some(response));
             }
         }
     }
 
     /// Opens connections until as many are idle as are kept.
     pub(crate) async fn warm(&self, address: SocketAddr) -> Result<(), ExchangeError> {
-        while self.idle_at(address) < self.limits.kept {
+        while self.idle_count(address) < self.limits.max_idle {
             let connection = self.open(address).await?;
-            self.keep(address, connection);
+            self.put_back(address, connection);
         }
         Ok(())
     }
 
     /// Waits for a connection that was opened before a moment; none if there is none, idle or in use.
-    async fn older(&self, address: SocketAddr, before: Moment) -> Option<Connection> {
+    async fn wait_opened_before(&self, address: SocketAddr, before: Moment) -> Option<Connection> {
         loop {
-            let found = self.take_older(address, before);
-            if found.is_some() || self.idle_at(address) >= self.open.get() {
+            let found = self.take_opened_before(address, before);
+            if found.is_some() || self.idle_count(address) >= self.open.count() {
                 return found;
             }
-            tokio::time::sleep(BUSY_LOOK).await;
+            tokio::time::sleep(IDLE_POLL_INTERVAL).await;
         }
     }
 
     /// Takes the one that has been idle for longest, so that all stay in use.
-    fn take_older(&self, address: SocketAddr, before: Moment) -> Option<Connection> {
-        self.drop_old(address);
+    fn take_opened_before(&self, address: SocketAddr, before: Moment) -> Option<Connection> {
+        self.drop_expired(address);
         let mut all = self.idle.borrow_mut();
         let kept = all.get_mut(&address)?;
-        let usable =
-            |idle: &Idle| idle.connection.opened < before && idle.connection.sender.is_ready();
-        let place = kept.iter().position(usable)?;
-        Some(kept.remove(place).connection)
+        let usable = |entry: &IdleEntry| {
+            entry.connection.opened < before && entry.connection.sender.is_ready()
+        };
+        let index = kept.iter().position(usable)?;
+        Some(kept.remove(index).connection)
     }
 
-    fn idle_at(&self, address: SocketAddr) -> usize {
-        self.drop_old(address);
+    fn idle_count(&self, address: SocketAddr) -> usize {
+        self.drop_expired(address);
         self.idle.borrow().get(&address).map_or(0, Vec::len)
     }
 
-    fn drop_old(&self, address: SocketAddr) {
+    fn drop_expired(&self, address: SocketAddr) {
         let now = clock::now();
         if let Some(kept) = self.idle.borrow_mut().get_mut(&address) {
             kept.retain(|idle| {
-                now.since(idle.since) < self.limits.idle && !idle.connection.sender.is_closed()
+                now.since(idle.since) < self.limits.idle_timeout
+                    && !idle.connection.sender.is_closed()
             });
         }
     }
 
     /// Tells whether a connection is open, idle or not.
     pub(crate) fn is_connected(&self) -> bool {
-        self.open.get() > 0
+        self.open.count() > 0
     }
 
     /// Closes all idle connections to an address.
-    pub(crate) fn forget(&self, address: SocketAddr) {
+    pub(crate) fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
     /// Returns how many connections were opened.
-    pub(crate) fn opened(&self) -> u64 {
+    pub(crate) fn opened_count(&self) -> u64 {
         *self.opened.borrow()
     }
 
-    async fn connect(
+    async fn take_or_open(
         &self,
         address: SocketAddr,
-        idle: Duration,
+        idle_limit: Duration,
     ) -> Result<Connection, ExchangeError> {
-        match self.take(address, idle) {
+        match self.take(address, idle_limit) {
             Some(connection) => Ok(connection),
             None => self.open(address).await,
         }
     }
 
-    fn take(&self, address: SocketAddr, idle: Duration) -> Option<Connection> {
+    fn take(&self, address: SocketAddr, idle_limit: Duration) -> Option<Connection> {
         let now = clock::now();
-        let longest = idle.min(self.limits.idle);
-        self.drop_old(address);
+        let idle_limit = idle_limit.min(self.limits.idle_timeout);
+        self.drop_expired(address);
         let mut all = self.idle.borrow_mut();
         let kept = all.get_mut(&address)?;
         let newest = kept
             .last()
-            .filter(|newest| now.since(newest.since) < longest)?;
+            .filter(|newest| now.since(newest.since) < idle_limit)?;
         if !newest.connection.sender.is_ready() {
             return None;
         }
         kept.pop().map(|idle| idle.connection)
     }
 
-    fn keep(&self, address: SocketAddr, connection: Connection) {
+    fn put_back(&self, address: SocketAddr, connection: Connection) {
         if connection.sender.is_closed() {
             return;
         }
         let mut all = self.idle.borrow_mut();
         let kept = all.entry(address).or_default();
-        if kept.len() < self.limits.kept {
+        if kept.len() < self.limits.max_idle {
             let since = clock::now();
-            kept.push(Idle { connection, since });
+            kept.push(IdleEntry { connection, since });
         }
     }
 
     async fn open(&self, address: SocketAddr) -> Result<Connection, ExchangeError> {
-        let stream = dial(address, self.limits.dial).await?;
+        let stream = dial(address, self.limits.dial_timeout).await?;
         *self.opened.borrow_mut() += 1;
         let stream = PacedStream::new(stream, self.pacer.clone());
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
--- a/crates/rack/src/traffic/wire/request_scanner.rs
+++ b/crates/rack/src/traffic/wire/request_scanner.rs
@@ -10,9 +10,9 @@
 use http::request::Parts;
 
 /// How many headers a head may have to be understood here.
-const MOST_HEADERS: usize = 64;
+const MAX_HEADERS: usize = 64;
 /// How many bytes of an unfinished head are kept.
-const LONGEST_HEAD: usize = 32 * 1024;
+const MAX_HEAD_BYTES: usize = 32 * 1024;
 
 /// Is a request without a body, and its place among those of its connection.
 #[derive(Debug)]
@@ -29,44 +29,44 @@
 #[derive(Debug, Default)]
 pub(in crate::traffic) struct RequestScanner {
     /// The bytes of a head that has not ended yet.
-    head: Vec<u8>,
+    partial_head: Vec<u8>,
     /// How many bytes of a body are still to come.
-    body: usize,
-    found: u64,
+    body_left: usize,
+    next_number: u64,
     stopped: bool,
 }
 
 impl RequestScanner {
     /// Takes the next bytes and returns the requests without a body that end in them.
-    pub(in crate::traffic) fn feed(&mut self, bytes: &[u8]) -> Vec<ScannedHead> {
+    pub(in crate::traffic) fn scan(&mut self, bytes: &[u8]) -> Vec<ScannedHead> {
         let mut heads = Vec::new();
         if self.stopped {
             return heads;
         }
-        self.head.extend_from_slice(bytes);
+        self.partial_head.extend_from_slice(bytes);
         loop {
-            let skipped = self.body.min(self.head.len());
-            self.head.drain(..skipped);
-            self.body -= skipped;
-            if self.body > 0 || self.head.is_empty() {
+            let skipped = self.body_left.min(self.partial_head.len());
+            self.partial_head.drain(..skipped);
+            self.body_left -= skipped;
+            if self.body_left > 0 || self.partial_head.is_empty() {
                 return heads;
             }
-            match read_head(&self.head) {
-                Scan::Partial if self.head.len() <= LONGEST_HEAD => return heads,
+            match read_head(&self.partial_head) {
+                Scan::Partial if self.partial_head.len() <= MAX_HEAD_BYTES => return heads,
                 Scan::Partial | Scan::Unclear => {
                     self.stop();
                     return heads;
                 }
-                Scan::Whole {
-                    length,
+                Scan::Complete {
+                    head_bytes,
                     parts,
-                    body,
+                    body_bytes,
                 } => {
-                    self.head.drain(..length);
-                    self.body = body;
-                    let number = self.found;
-                    self.found += 1;
-                    if body == 0 {
+                    self.partial_head.drain(..head_bytes);
+                    self.body_left = body_bytes;
+                    let number = self.next_number;
+                    self.next_number += 1;
+                    if body_bytes == 0 {
                         heads.push(ScannedHead {
                             number,
                             parts: *parts,
@@ -78,14 +78,14 @@
     }
 
     /// Returns the place of a request whose head has begun and not ended.
-    pub(in crate::traffic) fn unfinished(&self) -> Option<u64> {
-        (self.body == 0 && !self.head.is_empty()).then_some(self.found)
+    pub(in crate::traffic) fn partial_request(&self) -> Option<u64> {
+        (self.body_left == 0 && !self.partial_head.is_empty()).then_some(self.next_number)
     }
 
     /// Finds nothing more.
     pub(in crate::traffic) fn stop(&mut self) {
         self.stopped = true;
-        self.head = Vec::new();
+        self.partial_head = Vec::new();
     }
 }
 
@@ -93,26 +93,26 @@
     Partial,
     /// Not a head that both would surely read in the same way.
     Unclear,
-    Whole {
-        length: usize,
+    Complete {
+        head_bytes: usize,
         parts: Box<Parts>,
-        body: usize,
+        body_bytes: usize,
     },
 }
 
 fn read_head(bytes: &[u8]) -> Scan {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
-    let length = match request.parse(bytes) {
-        Ok(httparse::Status::Complete(length)) => length,
+    let head_bytes = match request.parse(bytes) {
+        Ok(httparse::Status::Complete(head_bytes)) => head_bytes,
         Ok(httparse::Status::Partial) => return Scan::Partial,
         Err(_) => return Scan::Unclear,
     };
     match to_parts(&request) {
-        Some((parts, body)) => Scan::Whole {
-            length,
+        Some((parts, body_bytes)) => Scan::Complete {
+            head_bytes,
             parts: Box::new(parts),
-            body,
+            body_bytes,
         },
         None => Scan::Unclear,
     }
@@ -122,23 +122,23 @@
     if request.version != Some(1) {
         return None;
     }
-    let mut whole = Request::new(());
-    *whole.method_mut() = Method::from_bytes(request.method?.as_bytes()).ok()?;
-    *whole.uri_mut() = request.path?.parse::<Uri>().ok()?;
+    let mut assembled = Request::new(());
+    *assembled.method_mut() = Method::from_bytes(request.method?.as_bytes()).ok()?;
+    *assembled.uri_mut() = request.path?.parse::<Uri>().ok()?;
     for header in request.headers.iter() {
         let name = HeaderName::from_bytes(header.name.as_bytes()).ok()?;
         let value = HeaderValue::from_bytes(header.value).ok()?;
-        whole.headers_mut().append(name, value);
+        assembled.headers_mut().append(name, value);
     }
-    let (parts, ()) = whole.into_parts();
+    let (parts, ()) = assembled.into_parts();
     if parts.headers.contains_key(TRANSFER_ENCODING) {
         return None;
     }
     let mut lengths = parts.headers.get_all(CONTENT_LENGTH).iter();
-    let body = match (lengths.next(), lengths.next()) {
+    let body_bytes = match (lengths.next(), lengths.next()) {
         (None, _) => 0,
         (Some(length), None) => length.to_str().ok()?.parse().ok()?,
         (Some(_), Some(_)) => return None,
     };
-    Some((parts, body))
+    Some((parts, body_bytes))
 }
--- a/crates/rack/src/traffic/wire/watched_stream.rs
+++ b/crates/rack/src/traffic/wire/watched_stream.rs
@@ -20,9 +20,9 @@
 
 /// How much is read ahead of the HTTP library. Beyond it the client has to wait, as usual, and its
 /// leaving shows only once the library has read on.
-const AHEAD: usize = 256 * 1024;
+const READ_AHEAD_BYTES: usize = 256 * 1024;
 /// How much is read at once.
-const PIECE: usize = 16 * 1024;
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 
 /// Is a client connection of which the end is seen while the library does not read.
 ///
@@ -38,13 +38,13 @@
 #[derive(Debug, Default)]
 struct Shared {
     state: RefCell<State>,
-    room: Notify,
-    gone: Notify,
+    space: Notify,
+    disconnected: Notify,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    ahead: VecDeque<u8>,
+    buffered: VecDeque<u8>,
     ended: bool,
     failed: bool,
     reader: Option<Waker>,
@@ -53,56 +53,56 @@
 
 /// Tells when the client has gone.
 #[derive(Debug)]
-pub(in crate::traffic) struct Departure(Rc<Shared>);
+pub(in crate::traffic) struct Disconnect(Rc<Shared>);
 
 impl WatchedStream {
     /// Watches a connection; `look` is shown its bytes as they come, before the library reads them.
-    pub(in crate::traffic) fn open<L>(stream: TcpStream, look: L) -> (Self, Departure)
+    pub(in crate::traffic) fn open<L>(stream: TcpStream, inspect: L) -> (Self, Disconnect)
     where
         L: Fn(&[u8]) + 'static,
     {
         let (read, write) = stream.into_split();
         let shared = Rc::new(Shared::default());
-        let task = tokio::task::spawn_local(read_ahead(read, Rc::clone(&shared), look));
+        let task = tokio::task::spawn_local(read_ahead(read, Rc::clone(&shared), inspect));
         shared.state.borrow_mut().task = Some(task.abort_handle());
-        let departure = Departure(Rc::clone(&shared));
-        (Self { shared, write }, departure)
+        let disconnect = Disconnect(Rc::clone(&shared));
+        (Self { shared, write }, disconnect)
     }
 }
 
-impl Departure {
+impl Disconnect {
     /// Waits until the client has closed the connection. The library sees that by itself only if it
     /// holds no bytes of a next request.
     pub(in crate::traffic) async fn wait(&self) {
-        self.0.gone.notified().await;
+        self.0.disconnected.notified().await;
     }
 }
 
-async fn read_ahead<L>(mut read: OwnedReadHalf, shared: Rc<Shared>, look: L)
+async fn read_ahead<L>(mut read: OwnedReadHalf, shared: Rc<Shared>, inspect: L)
 where
     L: Fn(&[u8]),
 {
-    let mut piece = vec![0; PIECE];
+    let mut chunk = vec![0; READ_CHUNK_BYTES];
     loop {
-        while shared.state.borrow().ahead.len() >= AHEAD {
-            shared.room.notified().await;
+        while shared.state.borrow().buffered.len() >= READ_AHEAD_BYTES {
+            shared.space.notified().await;
         }
-        let outcome = read.read(&mut piece).await;
+        let outcome = read.read(&mut chunk).await;
         if let Ok(count) = &outcome {
-            look(piece.get(..*count).unwrap_or_default());
+            inspect(chunk.get(..*count).unwrap_or_default());
         }
         let mut state = shared.state.borrow_mut();
         match outcome {
             Ok(0) => state.ended = true,
-            Ok(count) => state.ahead.extend(piece.iter().take(count)),
+            Ok(count) => state.buffered.extend(chunk.iter().take(count)),
             Err(_) => state.failed = true,
         }
-        let over = state.ended || state.failed;
+        let ended = state.ended || state.failed;
         if let Some(waker) = state.reader.take() {
             waker.wake();
         }
-        if over {
-            shared.gone.notify_one();
+        if ended {
+            shared.disconnected.notify_one();
             return;
         }
     }
@@ -123,7 +123,7 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let mut state = self.shared.state.borrow_mut();
-        if state.ahead.is_empty() {
+        if state.buffered.is_empty() {
             if state.failed {
                 return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
             }
@@ -133,15 +133,15 @@
             state.reader = Some(cx.waker().clone());
             return Poll::Pending;
         }
-        let (front, _) = state.ahead.as_slices();
+        let (front, _) = state.buffered.as_slices();
         let count = front.len().min(buf.remaining());
         buf.put_slice(front.get(..count).unwrap_or_default());
-        state.ahead.drain(..count);
-        if state.ahead.is_empty() {
-            state.ahead.shrink_to(PIECE);
+        state.buffered.drain(..count);
+        if state.buffered.is_empty() {
+            state.buffered.shrink_to(READ_CHUNK_BYTES);
         }
         drop(state);
-        self.shared.room.notify_one();
+        self.shared.space.notify_one();
         Poll::Ready(Ok(()))
     }
 }
--- a/crates/rack/src/traffic/wire/write_gate.rs
+++ b/crates/rack/src/traffic/wire/write_limiter.rs
@@ -3,17 +3,17 @@
 use std::time::Duration;
 
 /// Says when a request may be written on its open connection.
-pub(crate) trait WriteGate {
+pub(crate) trait WriteLimiter {
     /// Lets one request pass, or returns when to ask again.
-    fn pass(&self) -> Option<Duration>;
+    fn try_write(&self) -> Option<Duration>;
 }
 
 /// Holds nothing back.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct OpenGate;
+pub(crate) struct Unlimited;
 
-impl WriteGate for OpenGate {
-    fn pass(&self) -> Option<Duration> {
+impl WriteLimiter for Unlimited {
+    fn try_write(&self) -> Option<Duration> {
         None
     }
 }
