--- a/crates/rack/src/control/control_loop.rs
+++ b/crates/rack/src/control/control_loop.rs
@@ -140,8 +140,9 @@
             let view = board.view();
             let known = request.uri().path() == READINESS_PATH;
             // Ready means that a client's request can be placed now.
-            let ready =
-                view.routes.is_some() && !view.directory.members.is_empty() && !board.is_leaving();
+            let ready = view.routes.is_some()
+                && !view.directory.members.is_empty()
+                && !board.is_shutting_down();
             let status = match (known, ready) {
                 (false, _) => status(StatusCode::NOT_FOUND),
                 (true, false) => status(StatusCode::SERVICE_UNAVAILABLE),
--- a/crates/rack/src/control/intent_reader.rs
+++ b/crates/rack/src/control/intent_reader.rs
@@ -114,7 +114,7 @@
                 Ok(IntentChange::Evacuate(zone)) => {
                     intent.evacuated.insert(zone);
                 }
-                Ok(IntentChange::Return(zone)) => {
+                Ok(IntentChange::EndEvacuation(zone)) => {
                     intent.evacuated.remove(&zone);
                 }
                 Err(error) => {
--- a/crates/rack/src/control/running.rs
+++ b/crates/rack/src/control/running.rs
@@ -78,7 +78,7 @@
                 Some((word, answer)) = asked.recv() => self.hear(word, answer),
                 Some(event) = happened.recv() => self.step(event, None),
                 Some(()) = shutdown.recv() => {
-                    self.view.leaving = true;
+                    self.view.shutting_down = true;
                     self.step(Event::Shutdown, None);
                 }
                 _ = tick.tick() => self.tick(),
@@ -123,7 +123,7 @@
             log::warn!(event = "server_gone", why = "its port refuses connections"; "");
             self.step(Event::Server(ServerEvent::Unreachable), None);
         }
-        if let Some(neighbour) = self.board.take_neighbour() {
+        if let Some(neighbour) = self.board.take_intent_source() {
             self.step(Event::IntentSource(neighbour), None);
         }
         self.step(Event::Tick, None);
@@ -201,11 +201,11 @@
         self.view.confirmed = self.machine.intent_confirmed();
         self.view.directory = Arc::new(self.machine.directory().clone());
         self.view.server = self.machine.server().map(|server| ServerView {
-            life: server.incarnation.clone(),
+            incarnation: server.incarnation.clone(),
             address: server.address,
             slots: server.slots as usize,
             draining: server.draining,
-            heard_at: self.machine.server_heartbeat_at().unwrap_or_default(),
+            heartbeat_at: self.machine.server_heartbeat_at().unwrap_or_default(),
             cold_until: self.machine.cold_until(),
             serving: self.machine.serving(now),
         });
--- a/crates/rack/src/node/running_node.rs
+++ b/crates/rack/src/node/running_node.rs
@@ -80,7 +80,7 @@
 
     /// Tells the node to leave: it finishes what it has.
     pub fn shutdown(&self) {
-        self.board.set_leaving(clock::now());
+        self.board.start_shutdown(clock::now());
         // A control thread that is gone has nobody left to tell.
         self.shutdown.send(()).ok();
     }
--- a/crates/rack/src/shared/board.rs
+++ b/crates/rack/src/shared/board.rs
@@ -19,9 +19,9 @@
     view: ArcSwap<NodeView>,
     changed: Notify,
     report: ArcSwap<TrafficReport>,
-    neighbour: ArcSwapOption<SocketAddr>,
+    intent_source: ArcSwapOption<SocketAddr>,
     /// Since when the process leaves, in nanoseconds of the clock; 0 while it does not.
-    leaving: AtomicU64,
+    shutdown_ns: AtomicU64,
 }
 
 impl Board {
@@ -52,33 +52,33 @@
     }
 
     /// Takes the address of a node that knows the operators' document, if one has told it.
-    pub fn take_neighbour(&self) -> Option<SocketAddr> {
-        self.neighbour.swap(None).as_deref().copied()
+    pub fn take_intent_source(&self) -> Option<SocketAddr> {
+        self.intent_source.swap(None).as_deref().copied()
     }
 
     /// Notes the address of a node that knows the operators' document.
-    pub fn meet(&self, neighbour: SocketAddr) {
-        self.neighbour.store(Some(Arc::new(neighbour)));
+    pub fn set_intent_source(&self, intent_source: SocketAddr) {
+        self.intent_source.store(Some(Arc::new(intent_source)));
     }
 
     /// Tells the traffic that the process leaves from now on; told again, it leaves since the first time.
-    pub fn set_leaving(&self, now: Moment) {
-        let first = self
-            .leaving
-            .compare_exchange(0, now.0, Ordering::Release, Ordering::Relaxed);
+    pub fn start_shutdown(&self, now: Moment) {
+        let first =
+            self.shutdown_ns
+                .compare_exchange(0, now.0, Ordering::Release, Ordering::Relaxed);
         if first.is_err() {
             log::info!(event = "leaves_already"; "");
         }
     }
 
     /// Tells whether the process leaves.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving_since().is_some()
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutdown_start().is_some()
     }
 
     /// Returns since when the process leaves.
-    pub fn leaving_since(&self) -> Option<Moment> {
-        let since = self.leaving.load(Ordering::Acquire);
+    pub fn shutdown_start(&self) -> Option<Moment> {
+        let since = self.shutdown_ns.load(Ordering::Acquire);
         (since > 0).then_some(Moment(since))
     }
 }
--- a/crates/rack/src/shared/node_view.rs
+++ b/crates/rack/src/shared/node_view.rs
@@ -23,5 +23,5 @@
     /// The backend server beside the node, if there is one to use.
     pub server: Option<ServerView>,
     /// Whether the node is shutting down.
-    pub leaving: bool,
+    pub shutting_down: bool,
 }
--- a/crates/rack/src/shared/server_view.rs
+++ b/crates/rack/src/shared/server_view.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerView {
     /// Which life of which server.
-    pub life: ServerIncarnation,
+    pub incarnation: ServerIncarnation,
     /// Where it listens.
     pub address: SocketAddr,
     /// How many requests it works on at once.
@@ -18,7 +18,7 @@
     /// Whether it has announced that it will leave.
     pub draining: bool,
     /// When its newest heartbeat was heard.
-    pub heard_at: Moment,
+    pub heartbeat_at: Moment,
     /// Until when it is cold.
     pub cold_until: Moment,
     /// The keys that it holds, each with the end of its grant.
--- a/crates/rack/src/traffic/egress/egress_node.rs
+++ b/crates/rack/src/traffic/egress/egress_node.rs
@@ -172,7 +172,12 @@
         let sent = clock::now();
         let (outcome, feedback) = self
             .client
-            .send(server.address, &server.life.id, job, self.queue.as_ref())
+            .send(
+                server.address,
+                &server.incarnation.id,
+                job,
+                self.queue.as_ref(),
+            )
             .await;
         if let Some(percent) = feedback.slowdown_percent {
             self.slowdown_percent
@@ -194,7 +199,7 @@
         if job.service != self.service {
             return Err(RefusalReason::NoServer);
         }
-        if self.client.is_port_closed(server.heard_at) {
+        if self.client.is_port_closed(server.heartbeat_at) {
             return Err(RefusalReason::Unreachable);
         }
         let is_blocked =
@@ -229,10 +234,10 @@
         let now = clock::now();
         let evacuated = view.intent.evacuated.contains(&self.zone);
         let returned = self.zone_evacuated.replace(evacuated) && !evacuated;
-        let restarted =
-            self.incarnation.replace(Some(server.life.clone())) != Some(server.life.clone());
+        let restarted = self.incarnation.replace(Some(server.incarnation.clone()))
+            != Some(server.incarnation.clone());
         let rate = self.cold_rate(view);
-        let maybe_restarted = self.client.maybe_restarted(server.heard_at);
+        let maybe_restarted = self.client.maybe_restarted(server.heartbeat_at);
         self.queue.update(|admission| {
             admission.set_slots(server.slots);
             let cold = admission.cold_limiter();
--- a/crates/rack/src/traffic/egress/outcome_log.rs
+++ b/crates/rack/src/traffic/egress/outcome_log.rs
@@ -27,7 +27,7 @@
         {
             self.cold_logged.set(now);
             log::info!(
-                event = "cold_server", server:% = server.life, begun = begun, written = written, rate:? = rate,
+                event = "cold_server", server:% = server.incarnation, begun = begun, written = written, rate:? = rate,
                 cold_ms = until.since(now).as_millis() as u64, intent = view.intent.offset; ""
             );
         }
--- a/crates/rack/src/traffic/egress/server_client.rs
+++ b/crates/rack/src/traffic/egress/server_client.rs
@@ -15,9 +15,9 @@
 use quetzalrack_mesh::model::ServerId;
 use quetzalrack_mesh::model::WorkKind;
 use quetzalrack_mesh::traffic::RefusalReason;
-use quetzalrack_platform::request::AnswerHeaders;
-use quetzalrack_platform::request::ServerStamp;
-use quetzalrack_platform::request::stamp;
+use quetzalrack_platform::request::ResponseHeaders;
+use quetzalrack_platform::request::ServerRequestHeaders;
+use quetzalrack_platform::request::set_server_headers;
 
 use crate::clock;
 use crate::traffic::job::Job;
@@ -151,7 +151,7 @@
             false => POOL_LIMITS.idle_timeout,
         };
         let keep = |response: &Response<Bytes>| {
-            let headers = AnswerHeaders::read(response.status(), response.headers());
+            let headers = ResponseHeaders::read(response.status(), response.headers());
             headers.id == job.id && !headers.closes
         };
         let limiter = TrackedLimiter::new(limiter);
@@ -192,9 +192,9 @@
         job: &Job,
         response: Response<Bytes>,
     ) -> (Outcome, Feedback) {
-        let headers = AnswerHeaders::read(response.status(), response.headers());
+        let headers = ResponseHeaders::read(response.status(), response.headers());
         let feedback = Feedback {
-            slowdown_percent: headers.load.and_then(|load| load.slowness),
+            slowdown_percent: headers.load.and_then(|load| load.slowdown_percent),
         };
         if headers.id != job.id {
             // A late second answer to an earlier request; other kept connections may hold more.
@@ -214,7 +214,7 @@
         let claims_not_run = status == StatusCode::SERVICE_UNAVAILABLE
             || status == StatusCode::TOO_MANY_REQUESTS
             || status == StatusCode::REQUEST_TIMEOUT;
-        let is_foreign = status.is_success() && !headers.proven;
+        let is_foreign = status.is_success() && !headers.stamped;
         if is_foreign || claims_not_run || response.headers().contains_key(CONTENT_ENCODING) {
             return (Outcome::Lost(LostReason::Foreign), feedback);
         }
@@ -232,10 +232,10 @@
     *request.uri_mut() = job.uri.clone();
     *request.headers_mut() = job.headers.clone();
     let caller = &job.caller;
-    stamp(
+    set_server_headers(
         request.headers_mut(),
-        &ServerStamp {
-            patience: timeout,
+        &ServerRequestHeaders {
+            timeout,
             caller,
             server,
         },
--- a/crates/rack/src/traffic/hop/hop_server.rs
+++ b/crates/rack/src/traffic/hop/hop_server.rs
@@ -88,7 +88,7 @@
         let Some(job) = hop_request::decode(clock::now(), parts, body) else {
             return Ok(bad_request());
         };
-        let report = match self.board.is_leaving() && self.egress.is_closed() {
+        let report = match self.board.is_shutting_down() && self.egress.is_closed() {
             true => AttemptReport::new(Outcome::NotRun(
                 RefusalReason::NodeAway,
                 RETRY_AFTER_SHUTDOWN,
@@ -102,7 +102,7 @@
     fn receive_intent_source(&self, body: &[u8]) -> Response<Full<Bytes>> {
         match postcard::from_bytes(body) {
             Ok(source) => {
-                self.board.meet(source);
+                self.board.set_intent_source(source);
                 Response::default()
             }
             Err(error) => {
--- a/crates/rack/src/traffic/ingress/client_port.rs
+++ b/crates/rack/src/traffic/ingress/client_port.rs
@@ -122,7 +122,7 @@
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         let mut response = pipeline.respond(request).await.map(Full::new);
-        if self.board.is_leaving() {
+        if self.board.is_shutting_down() {
             response
                 .headers_mut()
                 .insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/rack/src/traffic/ingress/incoming_request.rs
+++ b/crates/rack/src/traffic/ingress/incoming_request.rs
@@ -103,7 +103,7 @@
     let client_headers = RequestHeaders::read(&parts.headers);
     let mut headers = parts.headers;
     strip_connection_headers(&mut headers);
-    let timeout = client_headers.patience.unwrap_or(DEFAULT_CLIENT_TIMEOUT);
+    let timeout = client_headers.timeout.unwrap_or(DEFAULT_CLIENT_TIMEOUT);
     let mut deadline = arrived + timeout.saturating_sub(RETURN_TIME);
     if let Some(timeout) = route.timeout {
         deadline = deadline.min(arrived + timeout);
--- a/crates/rack/src/traffic/ingress/shutdown.rs
+++ b/crates/rack/src/traffic/ingress/shutdown.rs
@@ -16,7 +16,7 @@
     /// Returns when a client is to come back whose request comes so late to a leaving process that this
     /// would end while the request may still run.
     pub(super) fn retry_after_shutdown(&self, incoming: &IncomingRequest) -> Option<Duration> {
-        let since = self.board.leaving_since()?;
+        let since = self.board.shutdown_start()?;
         let (now, deadline_at) = (clock::now(), self.shutdown_deadline(since));
         let is_late = now >= since + CLIENT_DRAIN_TIME && incoming.deadline > deadline_at;
         is_late.then(|| deadline_at.since(now) + SHUTDOWN_RESPONSE_MARGIN)
@@ -36,7 +36,7 @@
     /// gets an answer, which promises nothing; else its client would see the connection cut.
     pub(super) async fn wait_shutdown_deadline(&self) {
         loop {
-            if let Some(since) = self.board.leaving_since() {
+            if let Some(since) = self.board.shutdown_start() {
                 let end = self.shutdown_deadline(since);
                 tokio::time::sleep(end.since(clock::now())).await;
                 return;
--- a/crates/rack/src/traffic/traffic_node.rs
+++ b/crates/rack/src/traffic/traffic_node.rs
@@ -131,7 +131,7 @@
             closing: peers_closing,
         };
         tokio::task::spawn_local(hop_server.run(peers));
-        while !self.board.is_leaving() {
+        while !self.board.is_shutting_down() {
             self.board.set_report(egress.report());
             tokio::time::sleep(REPORT_INTERVAL).await;
         }
