--- a/crates/mesh/src/boundary/append_outcome.rs
+++ b/crates/mesh/src/boundary/append_outcome.rs
@@ -1,15 +1,15 @@
-//! What became of a conditional append.
+//! Outcomes of conditional appends.
 
-/// Is the outcome of an append that names the offset at which it must land.
+/// The outcome of an append that is conditional on the offset of its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendOutcome {
-    /// The record stands at that offset.
+    /// The record is stored at that offset.
     Appended,
-    /// Another record stands there, so ours is not in the store.
-    Overtaken,
-    /// The store did nothing; try again later.
+    /// Another record is stored at that offset, so this one was not appended.
+    Superseded,
+    /// The store rejected the append; try again later.
     Refused,
-    /// No answer came, or a broken one: the record may stand now, or appear seconds later. Only a
-    /// read tells.
+    /// The response was missing or malformed. The record may be stored already, or seconds later; only a
+    /// read can tell.
     Unknown,
 }
--- a/crates/mesh/src/boundary/mod.rs
+++ b/crates/mesh/src/boundary/mod.rs
@@ -1,4 +1,4 @@
-//! What lies outside the decisions, as traits.
+//! Interfaces to the services that nodes depend on.
 
 mod append_outcome;
 mod keyed_record;
--- a/crates/mesh/src/boundary/read_outcome.rs
+++ b/crates/mesh/src/boundary/read_outcome.rs
@@ -1,21 +1,21 @@
-//! What a read of the store returned.
+//! Outcomes of reads from the store.
 
 use super::KeyedRecord;
 
-/// Is the outcome of a read.
+/// The outcome of a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// The records from the asked offset on; `end` is the offset that the next record will get.
+    /// The records from the requested offset on.
     Records {
         /// In the order of their offsets.
         records: Vec<KeyedRecord>,
-        /// Where the topic ends.
+        /// The end of the topic: the offset that the next record will get.
         end: u64,
-        /// Where to read on.
+        /// The offset of the next read.
         next: u64,
     },
-    /// The asked records have expired; read the newest value of each key instead.
+    /// The requested records have expired; read the newest value of each key instead.
     Expired,
-    /// The store did not answer, or refused.
+    /// The store did not respond, or rejected the read.
     Unavailable,
 }
--- a/crates/mesh/src/boundary/shared_store.rs
+++ b/crates/mesh/src/boundary/shared_store.rs
@@ -8,15 +8,15 @@
 use super::KeyedRecord;
 use super::ReadOutcome;
 
-/// Reaches topics of the platform's store that keep the newest value of each key.
+/// Access to topics of the platform's metadata store that keep the newest value of each key.
 ///
-/// Its answers are linearizable, and it loses nothing that it acknowledged; it can be slow, away
-/// for some callers or for all, and an answer can be lost after the call took effect.
+/// Operations are linearizable and acknowledged records are durable. The store can be slow, or
+/// unreachable for some or all callers, and a response can be lost after the call took effect.
 pub trait SharedStore: Send + Sync {
     /// Reads the newest record of every key.
     fn newest<'a>(&'a self, topic: &'a str) -> BoxFuture<'a, ReadOutcome>;
 
-    /// Reads records from an offset on, waiting up to `wait` while there are none.
+    /// Reads records from an offset on, and waits up to `wait` if there are none.
     fn read<'a>(&'a self, topic: &'a str, from: u64, wait: Duration) -> BoxFuture<'a, ReadOutcome>;
 
     /// Appends a record if the topic ends at `end`.
--- a/crates/mesh/src/ownership/leader/record_sync.rs
+++ b/crates/mesh/src/ownership/leader/record_sync.rs
@@ -226,7 +226,7 @@
             AppendOutcome::Refused => self.record_sync.pending = None,
             // Another node's claim, or an earlier write of this leader that took effect late: the
             // next read decides.
-            AppendOutcome::Overtaken => self.record_sync.last_read = Moment::default(),
+            AppendOutcome::Superseded => self.record_sync.last_read = Moment::default(),
             AppendOutcome::Unknown => {
                 self.record_sync.maybe_written = true;
                 self.record_sync.last_read = Moment::default();
--- a/crates/mesh/src/ownership/node_machine/leader_change.rs
+++ b/crates/mesh/src/ownership/node_machine/leader_change.rs
@@ -135,7 +135,7 @@
                     self.lead(now, claim, actions);
                 }
             }
-            AppendOutcome::Overtaken | AppendOutcome::Refused => {
+            AppendOutcome::Superseded | AppendOutcome::Refused => {
                 self.claim = None;
                 self.search.reset();
             }
--- a/crates/mesh/tests/ownership_support/fake_store.rs
+++ b/crates/mesh/tests/ownership_support/fake_store.rs
@@ -17,7 +17,7 @@
 
     pub fn append(&mut self, end: u64, record: LeaderRecord) -> AppendOutcome {
         if end != self.records.len() as u64 {
-            return AppendOutcome::Overtaken;
+            return AppendOutcome::Superseded;
         }
         self.records.push(record);
         AppendOutcome::Appended
--- a/crates/rack/src/control/store_calls.rs
+++ b/crates/rack/src/control/store_calls.rs
@@ -58,7 +58,7 @@
         };
         let ended = match outcome {
             AppendOutcome::Appended => "ok",
-            AppendOutcome::Overtaken => "overtaken",
+            AppendOutcome::Superseded => "overtaken",
             AppendOutcome::Refused => "refused",
             AppendOutcome::Unknown => "unknown",
         };
