--- a/crates/mesh/src/ownership/leader/candidates.rs
+++ b/crates/mesh/src/ownership/leader/candidates.rs
@@ -33,7 +33,7 @@
     }
 
     /// Returns the phase of a server's heartbeats as a fraction of their interval.
-    fn phase(&self, peer: &Peer) -> f64 {
+    fn heartbeat_phase(&self, peer: &Peer) -> f64 {
         let interval = self
             .times
             .server_heartbeat
@@ -88,13 +88,13 @@
             false => 1.0,
         };
         let busy = key_loads.iter().map(KeyLoad::slots).sum::<f64>()
-            + incoming.map(|recent| recent.work).sum::<f64>() * slowness;
+            + incoming.map(|recent| recent.usual_slots).sum::<f64>() * slowness;
         Candidate {
             keys: own.map(|entry| entry.keys.size()).sum(),
             slots,
             cold: server.is_some_and(|server| server.cold),
             load: (busy / f64::from(slots)).max(peer.utilization.min(MAX_UTILIZATION_LOAD)),
-            phase: self.phase(peer),
+            heartbeat_phase: self.heartbeat_phase(peer),
             slowness,
             key_loads,
         }
--- a/crates/mesh/src/ownership/leader/key_placement.rs
+++ b/crates/mesh/src/ownership/leader/key_placement.rs
@@ -15,7 +15,7 @@
 use crate::model::Handover;
 use crate::model::KeyRange;
 use crate::ownership::LeaseTimes;
-use crate::placement::share_out;
+use crate::placement::distribute_ranges;
 
 /// How long the set of servers of a service must stay unchanged before its keys are first
 /// distributed: a fleet starts within half a second, and keys that are granted too early must move
@@ -165,7 +165,7 @@
         }
         let candidates = self.candidates(service, targets);
         let keys: Vec<KeyRange> = unassigned.iter().map(|(keys, _)| *keys).collect();
-        for (index, keys, target) in share_out(&keys, &candidates) {
+        for (index, keys, target) in distribute_ranges(&keys, &candidates) {
             let handover = unassigned
                 .get(index)
                 .and_then(|(_, free_range)| free_range.handover.clone());
--- a/crates/mesh/src/ownership/leader/rebalancing.rs
+++ b/crates/mesh/src/ownership/leader/rebalancing.rs
@@ -34,7 +34,7 @@
 pub(super) struct RecentMove {
     pub(super) keys: KeyRange,
     /// How many slots of a server of usual speed its requests occupy.
-    pub(super) work: f64,
+    pub(super) usual_slots: f64,
     pub(super) target: NodeName,
     moved_at: Moment,
 }
@@ -127,7 +127,7 @@
         ));
         placement.moves.push(RecentMove {
             keys: chosen.keys,
-            work: chosen.work,
+            usual_slots: chosen.usual_slots,
             target: to.clone(),
             moved_at: now,
         });
--- a/crates/mesh/src/placement/candidate.rs
+++ b/crates/mesh/src/placement/candidate.rs
@@ -1,22 +1,22 @@
-//! A backend server that may get keys.
+//! Backend servers to which keys may be assigned.
 
 use crate::ownership::KeyLoad;
 
-/// Describes a server for the choice of its keys.
+/// A backend server as input for placement.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Candidate {
-    /// How many keys it has.
+    /// The number of keys that it holds.
     pub keys: u32,
-    /// How many requests it works on at once.
+    /// The number of requests that it processes at once.
     pub slots: u32,
     /// Whether it is cold.
     pub cold: bool,
-    /// How much work its keys ask for, as a share of what it can do: above one, some is refused.
+    /// The demand for its keys as a share of its capacity; above one, some requests are refused.
     pub load: f64,
-    /// When its heartbeats come, as a part of the time between two.
-    pub phase: f64,
-    /// How many slots it would need for what keeps one slot of a usual server of the service busy.
+    /// The phase of its heartbeats, as a fraction of their interval.
+    pub heartbeat_phase: f64,
+    /// The number of its slots that it needs for the work of one slot of a server of usual speed.
     pub slowness: f64,
-    /// The work for its keys, in the order of the keys; without those that must stay for now.
+    /// The load of its keys, in the order of the keys, without those that must not move yet.
     pub key_loads: Vec<KeyLoad>,
 }
--- a/crates/mesh/src/placement/mod.rs
+++ b/crates/mesh/src/placement/mod.rs
@@ -1,13 +1,13 @@
-//! Which backend server gets which keys.
+//! Placement of keys on backend servers.
 //!
-//! Load pattern: all keys at a start; a lost server's keys under full load; a few neighbouring keys
-//! that suddenly get a third of the requests, and others a few seconds later.
+//! It places all keys at a start, and a lost server's keys under full load. It also moves a few
+//! neighbouring keys that suddenly receive a third of the requests, and others a few seconds later.
 
 mod candidate;
+mod distribute_ranges;
 mod pick_moves;
-mod share_out;
 
 pub use candidate::Candidate;
+pub use distribute_ranges::distribute_ranges;
 pub use pick_moves::KeyMove;
 pub use pick_moves::pick_moves;
-pub use share_out::share_out;
--- a/crates/mesh/src/placement/pick_moves.rs
+++ b/crates/mesh/src/placement/pick_moves.rs
@@ -1,71 +1,75 @@
-//! Moving keys from full servers to emptier ones.
+//! Moves of keys from overloaded servers to less loaded ones.
 
 use super::Candidate;
 use crate::model::KeyRange;
 use crate::ownership::KeyLoad;
 
-/// How much work a server may be asked for until keys are moved away, as a share of what it can do:
-/// below this a request rarely waits, and a move makes its keys wait for about a second.
-const FULL: f64 = 0.85;
-/// By how much the target must be emptier.
-const GAP: f64 = 0.3;
-/// How much emptier than another a server must be to get a range though its heartbeat comes later: a
-/// range has no owner until the heartbeat of the server that is to get it.
-const NEAR: f64 = 0.2;
-/// How long a released range takes until it can be granted, in heartbeats of about a second: the
-/// server says within a tenth of a second that it has released it, and its node and that of the next
-/// owner each speak to the leader.
-const HANDING: f64 = 0.3;
-/// How much work the server that gets a range may be asked for afterwards. A single key that asks for
-/// more than a server can do gains nothing by a move, and has no owner meanwhile; its neighbours go.
-const FILLED: f64 = 1.0;
-/// The share of the wanted load that a run of keys must carry at least.
-const ENOUGH: f64 = 0.5;
-/// The share of the gap between two servers by which a run of keys may fill the emptier one if there is
-/// none that levels them: the fuller of both is then less full than before.
-const COARSE: f64 = 0.75;
+/// The load from which keys are moved away from a server, as a share of its capacity. Below it a
+/// request rarely waits, and a move makes its keys wait for about a second.
+const MIN_SOURCE_LOAD: f64 = 0.85;
+/// The least difference in load between the source and the target of a move.
+const MIN_LOAD_GAP: f64 = 0.3;
+/// The difference in load below which the server with the earlier heartbeat may get a range instead of
+/// the least loaded one. A range has no owner until the heartbeat of the server that gets it.
+const SIMILAR_LOAD: f64 = 0.2;
+/// The time from the release of a range until it can be granted, in heartbeats of about a second. The
+/// server reports the release within a tenth of a second, and its node and the next owner's node each
+/// send a message to the leader.
+const HANDOVER_HEARTBEATS: f64 = 0.3;
+/// The largest load of a server after it got a range. Moving a single key with more demand than one
+/// server's capacity gains nothing and leaves the key without an owner for a while, so its neighbours
+/// move instead.
+const MAX_TARGET_LOAD: f64 = 1.0;
+/// The least share of the wanted load that a run of keys must carry.
+const MIN_WANTED_SHARE: f64 = 0.5;
+/// The largest share of the load gap between two servers that a run of keys may move if no run levels
+/// them. The busier of the two is then less loaded than before.
+const MAX_GAP_SHARE: f64 = 0.75;
 
-/// Is a range to be moved.
+/// A range to be moved.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KeyMove {
     /// The keys.
     pub keys: KeyRange,
-    /// How many slots of a usual server their requests keep busy.
-    pub work: f64,
-    /// The place of the server that has them.
+    /// How many slots of a server of usual speed their requests occupy.
+    pub usual_slots: f64,
+    /// The index of the server that holds them.
     pub from: usize,
-    /// The place of the server that should get them.
+    /// The index of the server that gets them.
     pub to: usize,
 }
 
-/// Is a server as it will be once the moves picked so far are done.
+/// A server as it will be after the moves picked so far.
 #[derive(Clone, Debug)]
-struct Projected {
+struct ProjectedServer {
     load: f64,
-    /// Its slots, times what the whole service is asked for if that is more than it can do.
+    /// Its slots, multiplied by the service's mean load if that is above one.
     slots: f64,
     slowness: f64,
-    phase: f64,
+    heartbeat_phase: f64,
     cold: bool,
-    /// What can still be moved away from it; not what was just given to it.
-    parts: Vec<KeyLoad>,
-    /// Whether it has nothing that would help.
-    done: bool,
+    /// The load of the keys that can still move away from it, without those that it gets from these moves.
+    key_loads: Vec<KeyLoad>,
+    /// Whether none of its keys is worth a move.
+    exhausted: bool,
 }
 
-/// Picks the runs of keys that level the servers of a service, `most` of them at most, from the
-/// fullest to the emptiest each time.
+/// Picks at most `most` runs of keys whose moves level the load of a service's servers, each from the
+/// busiest server to the least loaded one.
 ///
-/// Many at once, because a hot range asks for several servers' worth of work, and one move after the
-/// other would take longer than it stays hot. Narrow ones, because every moved key's work stops for
-/// a moment, and a hot range is narrow.
+/// Several moves are picked at once, because a hot range needs the capacity of several servers, and one
+/// move after the other would take longer than it stays hot. The runs are narrow, because requests for
+/// every moved key pause for a moment, and a hot range is narrow.
 ///
-/// Where a service is asked for more than all its servers can do, a server's load counts as a part of
-/// the mean: what is refused comes back and is counted again, so no target would ever have room.
+/// If the demand on a service exceeds the capacity of all its servers, a server's load is taken relative
+/// to the mean. Refused requests come back and are counted again, so otherwise no target would ever have
+/// free capacity.
 pub fn pick_moves(servers: &[Candidate], most: usize) -> Vec<KeyMove> {
     let scale = mean_load(servers).max(1.0);
-    let scaled = servers.iter().map(|server| Projected::new(server, scale));
-    let mut projected: Vec<Projected> = scaled.collect();
+    let scaled = servers
+        .iter()
+        .map(|server| ProjectedServer::new(server, scale));
+    let mut projected: Vec<ProjectedServer> = scaled.collect();
     let mut moves = Vec::new();
     while moves.len() < most {
         let Some((from, to)) = widest_gap(&projected) else {
@@ -73,35 +77,35 @@
         };
         match next_move(&projected, from, to) {
             Some(chosen) => {
-                carry_out(&mut projected, &chosen);
+                apply_move(&mut projected, &chosen);
                 moves.push(chosen);
             }
-            None => set_done(&mut projected, from),
+            None => set_exhausted(&mut projected, from),
         }
     }
     moves
 }
 
-impl Projected {
+impl ProjectedServer {
     fn new(server: &Candidate, scale: f64) -> Self {
         Self {
             load: server.load / scale,
             slots: f64::from(server.slots.max(1)) * scale,
             slowness: server.slowness.max(f64::MIN_POSITIVE),
-            phase: server.phase,
+            heartbeat_phase: server.heartbeat_phase,
             cold: server.cold,
-            parts: server.key_loads.clone(),
-            done: false,
+            key_loads: server.key_loads.clone(),
+            exhausted: false,
         }
     }
 
-    /// Returns how long a range has no owner that goes to another server, in heartbeats.
-    fn unowned_until(&self, other: &Self) -> f64 {
-        (other.phase - self.phase - HANDING).rem_euclid(1.0)
+    /// Returns how long a range that moves to another server has no owner, in heartbeats.
+    fn unowned_time(&self, other: &Self) -> f64 {
+        (other.heartbeat_phase - self.heartbeat_phase - HANDOVER_HEARTBEATS).rem_euclid(1.0)
     }
 
-    /// Returns the load that comes with work for one slot of a usual server.
-    fn unit(&self) -> f64 {
+    /// Returns the load that the work of one slot of a server of usual speed adds.
+    fn slot_load(&self) -> f64 {
         self.slowness / self.slots
     }
 }
@@ -111,81 +115,87 @@
     total / servers.len().max(1) as f64
 }
 
-/// Returns the fullest server with keys to give away and the emptiest, if the gap is worth a move.
-fn widest_gap(servers: &[Projected]) -> Option<(usize, usize)> {
+/// Returns the busiest server with keys to move and its target, if the gap between them is worth a move.
+fn widest_gap(servers: &[ProjectedServer]) -> Option<(usize, usize)> {
     let all = || servers.iter().enumerate();
-    let by_load = |a: &(usize, &Projected), b: &(usize, &Projected)| a.1.load.total_cmp(&b.1.load);
-    let (from, full) = all().filter(|(_, server)| !server.done).max_by(by_load)?;
-    let warm = || all().filter(|(place, server)| !server.cold && *place != from);
-    let (_, emptiest) = warm().min_by(by_load)?;
-    let near = warm().filter(|(_, server)| server.load <= emptiest.load + NEAR);
-    let (to, empty) = near.min_by(|(_, a), (_, b)| {
-        let unowned = |server: &Projected| full.unowned_until(server) + server.load;
+    let by_load = |a: &(usize, &ProjectedServer), b: &(usize, &ProjectedServer)| {
+        a.1.load.total_cmp(&b.1.load)
+    };
+    let (from, busiest) = all()
+        .filter(|(_, server)| !server.exhausted)
+        .max_by(by_load)?;
+    let warm = || all().filter(|(index, server)| !server.cold && *index != from);
+    let (_, least_loaded) = warm().min_by(by_load)?;
+    let similar = warm().filter(|(_, server)| server.load <= least_loaded.load + SIMILAR_LOAD);
+    let (to, target) = similar.min_by(|(_, a), (_, b)| {
+        let unowned = |server: &ProjectedServer| busiest.unowned_time(server) + server.load;
         unowned(a).total_cmp(&unowned(b))
     })?;
-    let worthwhile = full.load >= FULL && full.load - empty.load >= GAP;
+    let worthwhile = busiest.load >= MIN_SOURCE_LOAD && busiest.load - target.load >= MIN_LOAD_GAP;
     worthwhile.then_some((from, to))
 }
 
-fn next_move(servers: &[Projected], from: usize, to: usize) -> Option<KeyMove> {
-    let (full, empty) = (servers.get(from)?, servers.get(to)?);
-    // Half of what a hot range asks for would make its target the next to be full.
+fn next_move(servers: &[ProjectedServer], from: usize, to: usize) -> Option<KeyMove> {
+    let (source, target) = (servers.get(from)?, servers.get(to)?);
+    // Half the demand for a hot range would make its target the next overloaded server.
     let mean = servers.iter().map(|server| server.load).sum::<f64>() / servers.len() as f64;
-    let room = (mean - empty.load).max(GAP / 2.0) / empty.unit();
-    let level = (full.load - empty.load) / (full.unit() + empty.unit());
-    let level = level.min((FILLED - empty.load) / empty.unit());
-    let wanted = level.min(room) * full.slowness;
-    let run = narrowest_run(&full.parts, wanted, level * full.slowness);
-    // A busy key can't be cut; better where it is the fuller server's than where it is too much.
-    let coarse = ((full.load - empty.load) * COARSE).min(FILLED - empty.load) / empty.unit();
-    let run = run.or_else(|| narrowest_run(&full.parts, wanted, coarse * full.slowness));
+    let headroom = (mean - target.load).max(MIN_LOAD_GAP / 2.0) / target.slot_load();
+    let level = (source.load - target.load) / (source.slot_load() + target.slot_load());
+    let level = level.min((MAX_TARGET_LOAD - target.load) / target.slot_load());
+    let wanted = level.min(headroom) * source.slowness;
+    let run = narrowest_run(&source.key_loads, wanted, level * source.slowness);
+    // A busy key can't be divided. A run that overshoots the level is better than none, as long as the
+    // target ends up less loaded than the source was.
+    let most = ((source.load - target.load) * MAX_GAP_SHARE).min(MAX_TARGET_LOAD - target.load)
+        / target.slot_load();
+    let run = run.or_else(|| narrowest_run(&source.key_loads, wanted, most * source.slowness));
     let (keys, slots) = run?;
     Some(KeyMove {
         keys,
-        work: slots / full.slowness,
+        usual_slots: slots / source.slowness,
         from,
         to,
     })
 }
 
-fn carry_out(servers: &mut [Projected], chosen: &KeyMove) {
+fn apply_move(servers: &mut [ProjectedServer], chosen: &KeyMove) {
     if let Some(from) = servers.get_mut(chosen.from) {
-        from.load -= chosen.work * from.unit();
-        from.parts
-            .retain(|part| chosen.keys.common(&part.keys).is_none());
+        from.load -= chosen.usual_slots * from.slot_load();
+        from.key_loads
+            .retain(|load| chosen.keys.common(&load.keys).is_none());
     }
     if let Some(to) = servers.get_mut(chosen.to) {
-        to.load += chosen.work * to.unit();
+        to.load += chosen.usual_slots * to.slot_load();
     }
 }
 
-fn set_done(servers: &mut [Projected], place: usize) {
-    if let Some(server) = servers.get_mut(place) {
-        server.done = true;
+fn set_exhausted(servers: &mut [ProjectedServer], index: usize) {
+    if let Some(server) = servers.get_mut(index) {
+        server.exhausted = true;
     }
 }
 
-/// Returns the narrowest run of keys that keeps about the wanted number of slots busy, and how many it
-/// does; not more than `most`, with which the target would be fuller than the server that gives.
-fn narrowest_run(parts: &[KeyLoad], wanted: f64, most: f64) -> Option<(KeyRange, f64)> {
+/// Returns the narrowest run of keys that occupies about the wanted number of slots, and the number that
+/// it occupies, which is at most `max_slots`.
+fn narrowest_run(key_loads: &[KeyLoad], wanted: f64, max_slots: f64) -> Option<(KeyRange, f64)> {
     let mut best: Option<(KeyRange, f64)> = None;
-    for (start, first) in parts.iter().enumerate() {
+    for (start, first) in key_loads.iter().enumerate() {
         let mut slots = 0.0;
         let mut end = first.keys;
-        for part in parts.iter().skip(start) {
-            // A gap belongs to another server, or must stay.
-            let next = end.last.checked_add(1) == Some(part.keys.first);
-            if part.keys != first.keys && !next {
+        for load in key_loads.iter().skip(start) {
+            // Keys in a gap belong to another server, or must not move.
+            let adjacent = end.last.checked_add(1) == Some(load.keys.first);
+            if load.keys != first.keys && !adjacent {
                 break;
             }
-            end = part.keys;
-            slots += part.slots();
-            if slots >= wanted * ENOUGH {
+            end = load.keys;
+            slots += load.slots();
+            if slots >= wanted * MIN_WANTED_SHARE {
                 break;
             }
         }
         let run = KeyRange::new(first.keys.first, end.last)?;
-        let fits = slots >= wanted * ENOUGH && slots <= most;
+        let fits = slots >= wanted * MIN_WANTED_SHARE && slots <= max_slots;
         if fits && best.is_none_or(|(best, _)| run.size() < best.size()) {
             best = Some((run, slots));
         }
--- a/crates/mesh/tests/placement.rs
+++ b/crates/mesh/tests/placement.rs
@@ -4,8 +4,8 @@
 use quetzalrack_mesh::ownership::KeyLoad;
 use quetzalrack_mesh::placement::Candidate;
 use quetzalrack_mesh::placement::KeyMove;
+use quetzalrack_mesh::placement::distribute_ranges;
 use quetzalrack_mesh::placement::pick_moves;
-use quetzalrack_mesh::placement::share_out;
 
 fn range(first: u16, last: u16) -> KeyRange {
     KeyRange { first, last }
@@ -25,7 +25,7 @@
 #[test]
 fn first_shares() {
     let servers = vec![server(0, 0.0); 4];
-    let shares = share_out(&[KeyRange::ALL], &servers);
+    let shares = distribute_ranges(&[KeyRange::ALL], &servers);
     assert_eq!(shares.len(), 4);
     let sizes: u32 = shares.iter().map(|(_, keys, _)| keys.size()).sum();
     assert_eq!(sizes, 65_536);
@@ -45,7 +45,7 @@
         server(18_000, 0.1),
         server(20_000, 0.1),
     ];
-    for (_, _, to) in share_out(&[range(8_286, 8_305), range(40_000, 40_499)], &servers) {
+    for (_, _, to) in distribute_ranges(&[range(8_286, 8_305), range(40_000, 40_499)], &servers) {
         assert_ne!(to, 0);
     }
 }
@@ -59,7 +59,7 @@
         server(16_384, 0.6),
     ];
     let mut got = [0; 3];
-    for (_, keys, to) in share_out(&[range(0, 16_383)], &servers) {
+    for (_, keys, to) in distribute_ranges(&[range(0, 16_383)], &servers) {
         got[to] += keys.size();
     }
     assert_eq!(got.iter().sum::<u32>(), 16_384);
@@ -107,7 +107,7 @@
     while rounds < 2 {
         rounds += 1;
         for chosen in pick_moves(&servers, 12) {
-            let load = chosen.work / 10.0;
+            let load = chosen.usual_slots / 10.0;
             after[chosen.from] -= load;
             after[chosen.to] += load;
             let moved = chosen.keys;
@@ -137,7 +137,7 @@
     let servers = [hot, server(20_000, 0.9), server(20_000, 0.9)];
     let moves = pick_moves(&servers, 12);
     let got = |to: usize| moves.iter().filter(move |chosen| chosen.to == to);
-    let work = |to: usize| got(to).map(|chosen| chosen.work).sum::<f64>();
+    let work = |to: usize| got(to).map(|chosen| chosen.usual_slots).sum::<f64>();
     let (one, other) = (work(1), work(2));
     // An even share would be two hundred.
     for shared in [one, other, 600.0 - one - other] {
