--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of nodes that run where backend servers ask for their keys by heartbeat, free of
-//! clocks, sockets and threads.
+//! Decision logic of nodes on a platform where backend servers request their keys by heartbeat, without
+//! clocks, sockets or threads.
 //!
-//! A node stands beside each backend server and is the only one to reach it. The platform's
-//! metadata store names one leader; the leader places key ranges on nodes and renews their leases.
+//! Each backend server shares its host with a node, which alone can reach it. The platform's metadata
+//! store records one leader, which places key ranges on nodes and renews their leases.
 //! See `docs/design/platform.md`.
 
 pub mod boundary;
--- a/crates/mesh/src/model/fencing_token.rs
+++ b/crates/mesh/src/model/fencing_token.rs
@@ -7,19 +7,21 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How many tokens a leader may give in one epoch; it keeps tokens below 2^53, so that they survive
-/// a JSON reader that knows only floating-point numbers for sixteen million claims.
-const IN_EPOCH: u64 = 1 << 21;
+/// The number of tokens that a leader may issue in one epoch. It keeps tokens below 2^53 until the
+/// store has recorded sixteen million claims, so JSON readers that parse every number as floating
+/// point read them exactly.
+const TOKENS_PER_EPOCH: u64 = 1 << 21;
 
-/// Rises with every change of a key's holder; a backend server refuses a lower one than it has seen.
+/// A number that rises with every change of a key's holder. A backend server refuses a token lower than
+/// one that it has seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct FencingToken(pub u64);
 
 impl FencingToken {
-    /// Returns the first token of a leader's epoch, above all of earlier epochs.
+    /// Returns the first token of an epoch, which is above all tokens of earlier epochs.
     pub fn first_of(epoch: u64) -> Self {
-        Self(epoch * IN_EPOCH + 1)
+        Self(epoch * TOKENS_PER_EPOCH + 1)
     }
 
     /// Returns the token that follows this one.
--- a/crates/mesh/src/model/granting.rs
+++ b/crates/mesh/src/model/granting.rs
@@ -1,15 +1,15 @@
-//! How backend servers get their keys.
+//! How backend servers are granted keys.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Says how a node tells the backend server beside it which keys it holds.
+/// How a node tells the backend server on its host which keys the server holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Granting {
-    /// In the answers to the server's heartbeats; a hold counts from the sending of the heartbeat.
+    /// In the replies to the server's heartbeats; a hold starts when the heartbeat is sent.
     #[default]
     ByHeartbeat,
-    /// By calls to the server; a hold counts from the arrival of the call.
+    /// By calls to the server; a hold starts when the call arrives.
     ByCall,
 }
--- a/crates/mesh/src/model/handover.rs
+++ b/crates/mesh/src/model/handover.rs
@@ -7,8 +7,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Lets the next holder of a range serve it at full speed at once; the last holder hands it out as
-/// it releases the range. Its content means nothing to us.
+/// A token with which the next holder of a range serves it at full speed at once. The previous holder
+/// returns it when it releases the range. Its content is opaque to nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Handover(pub Arc<str>);
--- a/crates/mesh/src/model/held_range.rs
+++ b/crates/mesh/src/model/held_range.rs
@@ -1,4 +1,4 @@
-//! A range of keys with its holder's fencing token.
+//! Key ranges with their fencing tokens.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,12 +6,12 @@
 use super::FencingToken;
 use super::KeyRange;
 
-/// Is a range that a backend server holds or is still working on.
+/// A key range that a backend server holds, or whose requests it still processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct HeldRange {
     /// The keys.
     pub keys: KeyRange,
-    /// The token with which they were granted.
+    /// The fencing token with which they were granted.
     pub fence: FencingToken,
 }
--- a/crates/mesh/src/model/host_settings.rs
+++ b/crates/mesh/src/model/host_settings.rs
@@ -1,4 +1,4 @@
-//! What a node learns from its settings file.
+//! Settings of a host, as read from a node's settings file.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -12,12 +12,12 @@
 use super::Granting;
 use super::LinkRate;
 use super::ListenAddresses;
-use super::TimeBounds;
+use super::PlatformBounds;
 
-/// Describes the host and what the platform asks of a node on it.
+/// A host and the platform's requirements of the node on it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostSettings {
-    /// The node's name, which outlives its process.
+    /// The node's name, which stays the same across restarts.
     pub node: NodeName,
     /// Its availability zone.
     pub zone: ZoneName,
@@ -25,26 +25,26 @@
     pub ip: IpAddr,
     /// The service of the host's backend server.
     pub service: ServiceName,
-    /// Where the host's backend server listens; nobody but this node reaches it.
+    /// Where the host's backend server listens; only this node can reach it.
     pub server: SocketAddr,
     /// Where the node listens.
     pub listen: ListenAddresses,
-    /// The ports on which nodes may talk to each other.
+    /// The ports on which nodes may communicate with each other.
     pub peer_ports: RangeInclusive<u16>,
     /// Where the metadata store listens.
     pub store: SocketAddr,
-    /// What the host's own link carries; none if the platform does not say.
+    /// The bandwidth of the host's own link; `None` if the platform does not state it.
     pub link: Option<LinkRate>,
     /// How often the backend server sends its heartbeat.
     pub heartbeat: Duration,
-    /// How the backend server is granted keys where its service does not say.
+    /// How the backend server is granted keys if its service does not specify it.
     pub granting: Granting,
-    /// The bounds within which the platform wants things done.
-    pub bounds: TimeBounds,
+    /// Time limits and budgets that the platform sets.
+    pub bounds: PlatformBounds,
 }
 
 impl HostSettings {
-    /// Names what differs between two settings, for the log.
+    /// Returns the names of the fields that differ, for the log.
     pub fn differences(&self, other: &Self) -> Vec<&'static str> {
         let fields = [
             ("node", self.node != other.node),
--- a/crates/mesh/src/model/key_range.rs
+++ b/crates/mesh/src/model/key_range.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Is a range of keys, both ends included.
+/// A range of keys, including both ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct KeyRange {
@@ -16,7 +16,7 @@
     pub last: u16,
 }
 
-/// Says that a text is no range of keys.
+/// The error for a string that is not a range of keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("a range of keys is written FIRST-LAST, with FIRST not above LAST")]
@@ -29,7 +29,7 @@
         last: u16::MAX,
     };
 
-    /// Makes a range, if the ends are in order.
+    /// Creates a range; `None` if `first` is above `last`.
     pub fn new(first: u16, last: u16) -> Option<Self> {
         (first <= last).then_some(Self { first, last })
     }
@@ -39,17 +39,17 @@
         (self.first..=self.last).contains(&key)
     }
 
-    /// Returns how many keys it has.
+    /// Returns the number of keys.
     pub fn size(&self) -> u32 {
         u32::from(self.last) - u32::from(self.first) + 1
     }
 
-    /// Returns the keys that both ranges have.
+    /// Returns the keys in both ranges.
     pub fn common(&self, other: &Self) -> Option<Self> {
         Self::new(self.first.max(other.first), self.last.min(other.last))
     }
 
-    /// Returns what is left of this range without `other`: the part before it and the part after.
+    /// Returns the parts of this range before and after `other`.
     pub fn without(&self, other: &Self) -> [Option<Self>; 2] {
         if self.common(other).is_none() {
             return [Some(*self), None];
--- a/crates/mesh/src/model/listen_addresses.rs
+++ b/crates/mesh/src/model/listen_addresses.rs
@@ -1,13 +1,13 @@
-//! Where a node listens.
+//! Addresses on which a node listens.
 
 use std::net::SocketAddr;
 
-/// Says where a node listens for everyone but other nodes.
+/// The addresses on which a node listens, except those for its peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenAddresses {
-    /// For clients on the host, and for the calls of its backend server.
+    /// For clients on the host and for calls of its backend server.
     pub clients: SocketAddr,
-    /// For the platform's question whether clients may be sent here.
+    /// For the platform's readiness probe.
     pub readiness: SocketAddr,
     /// For the heartbeats of the host's backend server.
     pub heartbeats: SocketAddr,
--- a/crates/mesh/src/model/mod.rs
+++ b/crates/mesh/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! What the node knows of its backend server, of the operators' intent and of its own host.
+//! Types for backend servers, the operators' intent and hosts.
 
 mod client_limits;
 mod fencing_token;
@@ -10,15 +10,15 @@
 mod link_rate;
 mod listen_addresses;
 mod operators_intent;
+mod platform_bounds;
 mod renewal;
+mod request_kind;
 mod route;
 mod routing_config;
 mod server_heartbeat;
 mod server_id;
 mod service_settings;
-mod time_bounds;
 mod weighted_service;
-mod work_kind;
 
 pub use client_limits::ClientLimits;
 pub use fencing_token::FencingToken;
@@ -31,8 +31,10 @@
 pub use link_rate::ParseLinkRateError;
 pub use listen_addresses::ListenAddresses;
 pub use operators_intent::OperatorsIntent;
+pub use platform_bounds::PlatformBounds;
 pub use renewal::GrantedRange;
 pub use renewal::Renewal;
+pub use request_kind::RequestKind;
 pub use route::Route;
 pub use routing_config::RoutingConfig;
 pub use server_heartbeat::ReleasedRange;
@@ -40,6 +42,4 @@
 pub use server_id::ServerId;
 pub use server_id::ServerIncarnation;
 pub use service_settings::ServiceSettings;
-pub use time_bounds::TimeBounds;
 pub use weighted_service::WeightedService;
-pub use work_kind::WorkKind;
--- a/crates/mesh/src/model/operators_intent.rs
+++ b/crates/mesh/src/model/operators_intent.rs
@@ -1,4 +1,4 @@
-//! What the operators want, as far as a node knows.
+//! The operators' intent as a node knows it.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,14 +9,14 @@
 
 use super::RoutingConfig;
 
-/// Is the operators' intent up to an offset of the store's topic.
+/// The operators' intent up to an offset of the operators' topic in the store.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct OperatorsIntent {
-    /// The offset up to which everything was applied; a higher one is newer.
+    /// The offset up to which every record was applied; a higher one is newer.
     pub offset: u64,
-    /// The configuration, if one was read.
+    /// The configuration; `None` until one was read.
     pub config: Option<Arc<RoutingConfig>>,
-    /// The availability zones whose backend servers get nothing.
+    /// The availability zones whose backend servers receive no requests.
     pub evacuated: BTreeSet<ZoneName>,
 }
--- a/crates/mesh/src/model/platform_bounds.rs
+++ b/crates/mesh/src/model/platform_bounds.rs
@@ -1,26 +1,26 @@
-//! The bounds that the platform sets.
+//! Time limits and budgets that the platform sets.
 
 use std::time::Duration;
 
-/// Says within which bounds the platform wants things done.
+/// Time limits, retry budget and cold-start limits that the platform sets.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TimeBounds {
-    /// After a backend server's leaving was acknowledged, how long requests may still reach it.
-    pub drain: Duration,
-    /// From SIGTERM to SIGKILL.
-    pub grace: Duration,
+pub struct PlatformBounds {
+    /// How long requests may still reach a backend server after its drain was acknowledged.
+    pub drain_time: Duration,
+    /// The time from SIGTERM to SIGKILL.
+    pub shutdown_grace: Duration,
     /// The longest time for which keys may be granted.
-    pub hold: Duration,
-    /// The share of its requests by which a service may get second attempts.
+    pub max_hold: Duration,
+    /// A service's second attempts as a share of its requests.
     pub retry_ratio: f64,
-    /// The span over which that share is counted.
+    /// The time window over which that share is computed.
     pub retry_window: Duration,
-    /// How many second attempts all nodes together have beside that share, in one span.
+    /// The second attempts that all nodes together may make beyond that share in one window.
     pub retry_slack: f64,
-    /// By which factor the requests to a cold server may exceed its rate within one second.
+    /// The factor by which the requests to a cold server may exceed its rate within one second.
     pub cold_factor: f64,
-    /// By how many more.
+    /// The number of requests by which they may exceed it beyond that factor.
     pub cold_slack: f64,
 }
 
-impl Eq for TimeBounds {}
+impl Eq for PlatformBounds {}
--- a/crates/mesh/src/model/renewal.rs
+++ b/crates/mesh/src/model/renewal.rs
@@ -1,4 +1,4 @@
-//! What a node answers to its backend server's heartbeat.
+//! Renewals that a node sends to its backend server in reply to a heartbeat.
 
 use std::time::Duration;
 
@@ -8,21 +8,21 @@
 use super::Handover;
 use super::HeldRange;
 
-/// Is one range of a renewal.
+/// A key range of a renewal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct GrantedRange {
-    /// The keys and their token.
+    /// The keys and their fencing token.
     pub held: HeldRange,
-    /// The last holder's handover token, if it left one.
+    /// The previous holder's handover token, if it returned one.
     pub handover: Option<Handover>,
 }
 
-/// Tells a backend server everything that it is to hold from now on, and how long.
+/// All ranges that a backend server holds from now on, and for how long.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Renewal {
-    /// All of its ranges; what is left out is to be released.
+    /// All of its ranges. The server releases every range that is not listed.
     pub ranges: Vec<GrantedRange>,
-    /// How long it may hold them, counted from when it sent the heartbeat.
-    pub time: Duration,
+    /// How long it may hold them, from when it sent the heartbeat.
+    pub hold: Duration,
 }
--- a/crates/mesh/src/model/request_kind.rs
+++ b/crates/mesh/src/model/request_kind.rs
@@ -3,17 +3,17 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Says whether a route's requests may run more than once.
+/// Whether a route's requests may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub enum WorkKind {
-    /// They may.
+pub enum RequestKind {
+    /// Requests may run more than once.
     Idempotent,
-    /// Each may run once at most.
+    /// Each request may run at most once.
     Once,
 }
 
-impl WorkKind {
+impl RequestKind {
     /// Tells whether a request may be sent again although it may have run.
     pub fn is_repeatable(self) -> bool {
         self == Self::Idempotent
--- a/crates/mesh/src/model/route.rs
+++ b/crates/mesh/src/model/route.rs
@@ -1,4 +1,4 @@
-//! One route of the operators' configuration.
+//! Routes of the operators' configuration.
 
 use std::time::Duration;
 
@@ -6,29 +6,29 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use super::RequestKind;
 use super::WeightedService;
-use super::WorkKind;
 
-/// Says what happens to requests of one host and path prefix.
+/// How requests to one host and path prefix are handled.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Route {
-    /// Its name.
+    /// The name of the route.
     pub name: RouteName,
     /// The host of its requests.
     pub host: String,
     /// The path prefix, with a slash at both ends.
     pub prefix: String,
-    /// The services that serve it, each with its weight; one at least.
+    /// The services that serve it, with their weights; at least one.
     pub services: Vec<WeightedService>,
     /// Whether its requests may run more than once.
-    pub kind: WorkKind,
-    /// The longest time until an answer, if the operators gave one.
+    pub kind: RequestKind,
+    /// The time limit for a response, if the operators set one.
     pub timeout: Option<Duration>,
-    /// The time within which an answer is worth most.
+    /// The target time for a response.
     pub objective: Duration,
-    /// How many backend servers one request may be sent to.
+    /// The number of backend servers to which one request may be sent.
     pub attempts: u32,
-    /// Its rank; 0 goes first.
+    /// The priority of its requests; 0 is the most urgent.
     pub rank: u32,
 }
--- a/crates/mesh/src/model/routing_config.rs
+++ b/crates/mesh/src/model/routing_config.rs
@@ -10,16 +10,16 @@
 use super::Route;
 use super::ServiceSettings;
 
-/// Is a whole configuration, as the operators wrote it.
+/// A whole configuration as the operators published it.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct RoutingConfig {
-    /// Its version; versions rise, in uneven steps.
+    /// Its version. Versions rise, but not always by one.
     pub version: u64,
     /// The routes.
     pub routes: Vec<Route>,
     /// The services.
     pub services: BTreeMap<ServiceName, ServiceSettings>,
-    /// What clients may send.
+    /// Limits of client connections.
     pub limits: ClientLimits,
 }
--- a/crates/mesh/src/model/server_id.rs
+++ b/crates/mesh/src/model/server_id.rs
@@ -7,12 +7,12 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Names a backend server. It may start again under the same id.
+/// The name of a backend server, which stays the same across restarts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct ServerId(pub Arc<str>);
 
-/// Identifies one run of a backend server. A later incarnation neither holds nor knows anything of an
+/// Identifies one run of a backend server. A later incarnation neither holds keys nor has state of an
 /// earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
--- a/crates/mesh/src/model/service_settings.rs
+++ b/crates/mesh/src/model/service_settings.rs
@@ -1,4 +1,4 @@
-//! What the operators say of a service.
+//! Settings of a service in the operators' configuration.
 
 use std::time::Duration;
 
@@ -7,21 +7,20 @@
 
 use super::Granting;
 
-/// Describes the backend servers of a service.
+/// Settings of a service's backend servers.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct ServiceSettings {
-    /// The path that tells a server's health.
+    /// The path of a server's health check.
     pub health_path: String,
-    /// How many connections a server accepts.
+    /// The number of connections that a server accepts.
     pub connections: u32,
     /// How long a server stays cold after its start.
     pub cold_time: Duration,
-    /// How many requests a second a cold server bears; none is said for a service without cold
-    /// start.
+    /// The requests per second that a cold server can serve; `None` for a service without cold starts.
     pub cold_rate: Option<f64>,
     /// Whether each key has one owner.
     pub keyed: bool,
-    /// How its servers are granted keys; the host's settings decide where nothing is said.
+    /// How its servers are granted keys; `None` for the way in the host's settings.
     pub granting: Option<Granting>,
 }
--- a/crates/mesh/src/model/weighted_service.rs
+++ b/crates/mesh/src/model/weighted_service.rs
@@ -1,10 +1,10 @@
-//! A service's part of a route.
+//! Services of a route, with their weights.
 
 use quetzalrack_core::ids::ServiceName;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Gives a service a share of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct WeightedService {
--- a/crates/mesh/src/ownership/server_grants/server_tracker.rs
+++ b/crates/mesh/src/ownership/server_grants/server_tracker.rs
@@ -280,7 +280,7 @@
         }
         HeartbeatAnswer::Renewed(Renewal {
             ranges: lease.assignment.ranges.clone(),
-            time,
+            hold: time,
         })
     }
 }
--- a/crates/mesh/src/routing/mod.rs
+++ b/crates/mesh/src/routing/mod.rs
@@ -1,7 +1,7 @@
-//! Which route a request takes, and which of its services.
+//! Selection of a request's route and service.
 
 mod route_table;
-mod weight_wheel;
+mod weighted_round_robin;
 
 pub use route_table::RouteTable;
-pub use weight_wheel::WeightWheel;
+pub use weighted_round_robin::WeightedRoundRobin;
--- a/crates/mesh/src/routing/route_table.rs
+++ b/crates/mesh/src/routing/route_table.rs
@@ -1,4 +1,4 @@
-//! Finding a request's route.
+//! Lookup of a request's route.
 
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/crates/mesh/tests/ownership_support/fake_server.rs
+++ b/crates/mesh/tests/ownership_support/fake_server.rs
@@ -182,7 +182,7 @@
     }
 
     fn take(&mut self, now: Moment, sent: Moment, renewal: &Renewal, work: Duration) {
-        let until = sent + renewal.time.mul_f64(SLOW);
+        let until = sent + renewal.hold.mul_f64(SLOW);
         let before = std::mem::take(&mut self.holdings);
         for range in &renewal.ranges {
             let newer = before.iter().any(|old| {
--- a/crates/mesh/tests/ownership_support/tracing.rs
+++ b/crates/mesh/tests/ownership_support/tracing.rs
@@ -41,7 +41,7 @@
         ),
         Action::AnswerHeartbeat(HeartbeatAnswer::Renewed(renewal)) => {
             let held: Vec<HeldRange> = renewal.ranges.iter().map(|range| range.held).collect();
-            format!("renews for {:?} {}", renewal.time, ranges(&held))
+            format!("renews for {:?} {}", renewal.hold, ranges(&held))
         }
         action => format!("{action:?}"),
     }
--- a/crates/mesh/tests/routing.rs
+++ b/crates/mesh/tests/routing.rs
@@ -3,12 +3,12 @@
 
 use std::time::Duration;
 
+use quetzalrack_mesh::model::RequestKind;
 use quetzalrack_mesh::model::Route;
 use quetzalrack_mesh::model::RoutingConfig;
 use quetzalrack_mesh::model::WeightedService;
-use quetzalrack_mesh::model::WorkKind;
 use quetzalrack_mesh::routing::RouteTable;
-use quetzalrack_mesh::routing::WeightWheel;
+use quetzalrack_mesh::routing::WeightedRoundRobin;
 
 fn route(name: &str, host: &str, prefix: &str) -> Route {
     Route {
@@ -16,7 +16,7 @@
         host: host.to_owned(),
         prefix: prefix.to_owned(),
         services: vec![part("one", 1)],
-        kind: WorkKind::Idempotent,
+        kind: RequestKind::Idempotent,
         timeout: None,
         objective: Duration::from_secs(1),
         attempts: 1,
@@ -63,7 +63,7 @@
 #[test]
 fn weights() {
     let services = [part("one", 90), part("two", 10)];
-    let mut wheel = WeightWheel::default();
-    let turns = (0..300).filter(|_| wheel.turn(&services) == 1);
-    assert_eq!(turns.count(), 30);
+    let mut round_robin = WeightedRoundRobin::default();
+    let chosen = (0..300).filter(|_| round_robin.next_index(&services) == 1);
+    assert_eq!(chosen.count(), 30);
 }
--- a/crates/rack/src/control/control_loop.rs
+++ b/crates/rack/src/control/control_loop.rs
@@ -107,7 +107,7 @@
         };
         let usual = LeaseTimes::for_granting(host.granting, host.heartbeat);
         let times = LeaseTimes {
-            max_hold: usual.max_hold.min(host.bounds.hold),
+            max_hold: usual.max_hold.min(host.bounds.max_hold),
             ..usual
         };
         let running = Running {
--- a/crates/rack/src/traffic/egress/egress_node.rs
+++ b/crates/rack/src/traffic/egress/egress_node.rs
@@ -11,8 +11,8 @@
 use quetzalrack_core::time::Moment;
 use quetzalrack_mesh::model::KeyRange;
 use quetzalrack_mesh::model::LinkRate;
+use quetzalrack_mesh::model::PlatformBounds;
 use quetzalrack_mesh::model::ServerIncarnation;
-use quetzalrack_mesh::model::TimeBounds;
 use quetzalrack_mesh::ownership::NodeLoad;
 use quetzalrack_mesh::traffic::KeyCounter;
 use quetzalrack_mesh::traffic::OwnerHint;
@@ -49,7 +49,7 @@
     pub(super) metrics: Arc<Metrics>,
     service: ServiceName,
     zone: ZoneName,
-    bounds: TimeBounds,
+    bounds: PlatformBounds,
     client: ServerClient,
     pub(super) queue: Rc<AdmissionQueue>,
     key_counter: RefCell<KeyCounter>,
@@ -68,7 +68,7 @@
         metrics: Arc<Metrics>,
         service: ServiceName,
         zone: ZoneName,
-        bounds: TimeBounds,
+        bounds: PlatformBounds,
         link: Option<LinkRate>,
     ) -> Rc<Self> {
         let egress = Rc::new(Self {
--- a/crates/rack/src/traffic/egress/server_client.rs
+++ b/crates/rack/src/traffic/egress/server_client.rs
@@ -12,8 +12,8 @@
 use http::header::CONTENT_ENCODING;
 use http_body_util::Full;
 use quetzalrack_core::time::Moment;
+use quetzalrack_mesh::model::RequestKind;
 use quetzalrack_mesh::model::ServerId;
-use quetzalrack_mesh::model::WorkKind;
 use quetzalrack_mesh::traffic::RefusalReason;
 use quetzalrack_platform::request::AnswerHeaders;
 use quetzalrack_platform::request::ServerStamp;
@@ -144,7 +144,7 @@
         let now = clock::now();
         let timeout = job.deadline.since(now);
         let request = build_request(job, server, timeout);
-        let is_once = job.kind == WorkKind::Once;
+        let is_once = job.kind == RequestKind::Once;
         let idle = match is_once {
             true if now < self.distrusted_until.get() => Duration::ZERO,
             true => MAX_IDLE_ONCE,
--- a/crates/rack/src/traffic/hop/hop_request.rs
+++ b/crates/rack/src/traffic/hop/hop_request.rs
@@ -8,7 +8,7 @@
 use http::request::Parts;
 use http_body_util::Full;
 use quetzalrack_core::time::Moment;
-use quetzalrack_mesh::model::WorkKind;
+use quetzalrack_mesh::model::RequestKind;
 use quetzalrack_platform::request::RequestHeaders;
 
 use super::JOB_HEADER;
@@ -17,7 +17,7 @@
 /// Writes a job as a request to another node. Times are sent as what is left of them, since the
 /// clocks of two hosts are never compared.
 pub(super) fn encode(now: Moment, job: &Job) -> Option<Request<Full<Bytes>>> {
-    let is_once = job.kind == WorkKind::Once;
+    let is_once = job.kind == RequestKind::Once;
     let text = format!(
         "{} {} {} {} {} {} {}",
         job.service,
@@ -49,8 +49,8 @@
     let route = field()?.parse().ok()?;
     let rank = field()?.parse().ok()?;
     let kind = match field()? {
-        "0" => WorkKind::Idempotent,
-        _ => WorkKind::Once,
+        "0" => RequestKind::Idempotent,
+        _ => RequestKind::Once,
     };
     let mut time_left = || field()?.parse().ok().map(Duration::from_millis);
     let objective = now + time_left()?;
--- a/crates/rack/src/traffic/ingress/client_port.rs
+++ b/crates/rack/src/traffic/ingress/client_port.rs
@@ -83,7 +83,7 @@
         let service = service_fn(move |request| port.clone().handle(Rc::clone(&pipeline), request));
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(limits.idle_time.max(limits.header_time))
+            .header_read_timeout(limits.idle_timeout.max(limits.header_timeout))
             .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
             .serve_connection(TokioIo::new(stream), service);
         let mut connection = std::pin::pin!(connection);
@@ -94,8 +94,8 @@
             () = disconnect.wait() => {}
             // A broken connection has no one to tell.
             _ = connection.as_mut() => {}
-            () = observed.wait_slow_head(limits.header_time) => {
-                log::info!(event = "head_too_slow", after_ms = limits.header_time.as_millis() as u64; "");
+            () = observed.wait_slow_head(limits.header_timeout) => {
+                log::info!(event = "head_too_slow", after_ms = limits.header_timeout.as_millis() as u64; "");
             }
             _ = closing.wait_for(|closing| *closing) => {
                 // The first request of a connection that has just been opened may be on its way.
--- a/crates/rack/src/traffic/ingress/ingress_node.rs
+++ b/crates/rack/src/traffic/ingress/ingress_node.rs
@@ -17,7 +17,7 @@
 use quetzalrack_core::time::Moment;
 use quetzalrack_mesh::model::HostSettings;
 use quetzalrack_mesh::model::Route;
-use quetzalrack_mesh::routing::WeightWheel;
+use quetzalrack_mesh::routing::WeightedRoundRobin;
 use quetzalrack_mesh::traffic::RefusalReason;
 use quetzalrack_mesh::traffic::balancing::LoadBalancer;
 use quetzalrack_mesh::traffic::owner_wait::OwnerWait;
@@ -58,7 +58,7 @@
     egress: Rc<Egress>,
     hops: Rc<HopClient>,
     balancer: RefCell<LoadBalancer>,
-    weight_wheels: RefCell<HashMap<RouteName, WeightWheel>>,
+    round_robins: RefCell<HashMap<RouteName, WeightedRoundRobin>>,
     budgets: RefCell<HashMap<ServiceName, RetryBudget>>,
     owner_waits: RefCell<OwnerWait>,
     running: ActiveCounter,
@@ -81,7 +81,7 @@
             metrics,
             egress,
             hops: Rc::new(HopClient::new(pacer)),
-            weight_wheels: RefCell::default(),
+            round_robins: RefCell::default(),
             budgets: RefCell::default(),
             owner_waits: RefCell::default(),
             running: ActiveCounter::default(),
@@ -149,13 +149,13 @@
     }
 
     fn select_service(&self, route: &Route) -> ServiceName {
-        let mut weight_wheels = self.weight_wheels.borrow_mut();
-        let weight_wheel = weight_wheels.entry(route.name.clone()).or_default();
+        let mut round_robins = self.round_robins.borrow_mut();
+        let round_robin = round_robins.entry(route.name.clone()).or_default();
         let index = match route.services.len() {
             1 => 0,
-            _ => weight_wheel.turn(&route.services),
+            _ => round_robin.next_index(&route.services),
         };
-        // A route names one service at least, and the wheel returns a place among them.
+        // A route names one service at least, and the index is that of one of them.
         let entry = route.services.get(index).or_else(|| route.services.first());
         entry.map_or_else(
             || self.settings.service.clone(),
--- a/crates/rack/src/traffic/ingress/shutdown.rs
+++ b/crates/rack/src/traffic/ingress/shutdown.rs
@@ -28,7 +28,7 @@
             + self
                 .settings
                 .bounds
-                .grace
+                .shutdown_grace
                 .saturating_sub(SHUTDOWN_RESPONSE_MARGIN)
     }
 
--- a/crates/rack/src/traffic/job.rs
+++ b/crates/rack/src/traffic/job.rs
@@ -8,7 +8,7 @@
 use quetzalrack_core::ids::RouteName;
 use quetzalrack_core::ids::ServiceName;
 use quetzalrack_core::time::Moment;
-use quetzalrack_mesh::model::WorkKind;
+use quetzalrack_mesh::model::RequestKind;
 
 /// Is a whole request with what its route says of it.
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
     /// Its rank.
     pub(super) rank: u32,
     /// Whether it may run more than once.
-    pub(super) kind: WorkKind,
+    pub(super) kind: RequestKind,
     /// Until when its answer is worth most.
     pub(super) objective: Moment,
     /// Until when an answer is of use.
--- a/crates/rack/src/traffic/traffic_node.rs
+++ b/crates/rack/src/traffic/traffic_node.rs
@@ -147,7 +147,7 @@
                 .settings
                 .host
                 .bounds
-                .grace
+                .shutdown_grace
                 .saturating_sub(SHUTDOWN_MARGIN);
         wait_until(since + CLIENT_DRAIN_TIME).await;
         // Nobody listens if every connection has ended.
