--- a/crates/mesh/src/ownership/node_machine/peer_messages.rs
+++ b/crates/mesh/src/ownership/node_machine/peer_messages.rs
@@ -217,8 +217,7 @@
             applied_reply,
             // An earlier process of this node may have followed a later leader. That is ruled out once this
             // process has read the store, or once every leadership of that time has lapsed.
-            confirms: self.read_epoch.is_some_and(|read| read <= epoch)
-                || age >= self.times.lease * 2,
+            confirms: self.read_epoch.is_some_and(|e| e <= epoch) || age >= self.times.lease * 2,
             // Rounded down, so that the leader computes a moment that is late rather than early.
             prior_age: milliseconds(now.since(self.prior_reply)),
             lease_left: milliseconds(lease_left),
