--- a/crates/node/src/traffic/hop/hop_request.rs
+++ b/crates/node/src/traffic/hop/hop_request.rs
@@ -1,4 +1,4 @@
-//! A request as it goes to a backend server.
+//! One attempt at a request, as egress receives it.
 
 use axum::http::HeaderMap;
 use quetzalrack_core::cluster::RoutingTable;
@@ -12,7 +12,7 @@
 
 use crate::traffic::payload::Payload;
 
-/// Is one attempt at a request, ready for the egress of the node that is to answer.
+/// One attempt at a request, for the egress of the node that is to answer it.
 #[derive(Debug)]
 pub(in crate::traffic) struct HopRequest {
     /// The request's identity.
@@ -21,20 +21,20 @@
     pub(in crate::traffic) attempt: AttemptId,
     /// The route.
     pub(in crate::traffic) matched: MatchedRoute,
-    /// Path and query in their normal form.
+    /// The normalized path and query.
     pub(in crate::traffic) target: String,
-    /// The caller's headers that are passed on.
+    /// The caller's headers that are forwarded.
     pub(in crate::traffic) headers: HeaderMap,
     /// The body.
     pub(in crate::traffic) payload: Payload,
-    /// When the caller stops waiting.
+    /// When the caller stops waiting for the response.
     pub(in crate::traffic) deadline: Moment,
-    /// The slice that the ingress had in mind.
+    /// The slice of the key by the ingress node's routing table.
     pub(in crate::traffic) slice: Option<SliceId>,
 }
 
 impl HopRequest {
-    /// Returns the slice and the key's hash by a routing table; none while the table does not know
+    /// Returns the slice and the key's hash by a routing table; none if the table does not contain
     /// the service.
     pub(in crate::traffic) fn slice_in(
         &self,
@@ -44,8 +44,8 @@
     }
 }
 
-/// Returns the slice and the key's hash of a request. Where the path names no key, the idempotency
-/// key stands in, so that its repeats come to one gate.
+/// Returns the slice and the key's hash of a request. If the path contains no key, the idempotency
+/// key is hashed instead, so that all repeats of a request reach the same idempotency store.
 pub(in crate::traffic) fn slice_in(
     matched: &MatchedRoute,
     headers: &HeaderMap,
--- a/crates/node/src/traffic/hop/hop_seal.rs
+++ b/crates/node/src/traffic/hop/hop_seal.rs
@@ -1,4 +1,4 @@
-//! The proof that a request comes from another node.
+//! Authentication of requests between nodes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,27 +12,28 @@
 use super::put;
 use crate::platform::KeyStore;
 
-/// How old a proof may be; the calendar clocks of nodes differ by less.
+/// The maximum age of a signature; the wall clocks of nodes differ by less.
 const LIFETIME: Duration = Duration::from_secs(30);
 
 /// Signs requests to other nodes and verifies theirs.
 ///
-/// Without it any caller could pass for a node, name its own deadline and skip the choice of the
-/// node. The proof covers method, target, identities and deadline, not the body.
+/// Without the signature any caller could pose as a node, set its own deadline and bypass the
+/// choice of the node. The signature covers the method, the target, the request and attempt ids, the
+/// deadline, the slice and the idempotency key, but not the body.
 #[derive(Clone, Debug)]
 pub(in crate::traffic) struct HopSeal {
     node: NodeName,
     keys: Arc<KeyStore>,
 }
 
-/// Is the outcome of looking for a proof on a request.
+/// The result of verifying a request's signature.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::traffic) enum SealOutcome {
-    /// There is none: the request is a caller's.
+    /// There is no signature: the request comes from a caller.
     Missing,
-    /// It is right: the request is a node's.
+    /// The signature is valid: the request comes from another node.
     Right,
-    /// It is wrong or too old.
+    /// The signature is malformed, wrong or too old.
     Wrong,
 }
 
@@ -41,7 +42,7 @@
         Self { node, keys }
     }
 
-    /// Adds the proof to the headers of a request to another node.
+    /// Adds the signature to the headers of a request to another node.
     pub(in crate::traffic) fn sign(
         &self,
         now: WallTime,
@@ -56,7 +57,7 @@
         put(map, headers::AUTHENTICATOR, proof);
     }
 
-    /// Looks for the proof on a request.
+    /// Verifies the signature in the headers of a request.
     pub(in crate::traffic) fn verify(
         &self,
         now: WallTime,
--- a/crates/node/src/traffic/hop/mod.rs
+++ b/crates/node/src/traffic/hop/mod.rs
@@ -1,4 +1,4 @@
-//! The hop between two nodes, and what every hop has in common.
+//! Requests between two nodes, and what they share with requests to a backend server.
 
 mod hop_request;
 mod hop_seal;
--- a/crates/node/src/traffic/hop/passed_headers.rs
+++ b/crates/node/src/traffic/hop/passed_headers.rs
@@ -1,4 +1,4 @@
-//! Which headers pass a node.
+//! The headers that a node forwards.
 
 use axum::http::HeaderMap;
 use axum::http::HeaderName;
@@ -6,7 +6,7 @@
 use axum::http::header;
 use quetzalrack_wire::headers;
 
-/// Headers that belong to one connection, and those that every hop sets itself.
+/// Hop-by-hop headers and headers that every hop sets itself, such as `host`.
 const OF_ONE_HOP: &[&str] = &[
     "connection",
     "expect",
@@ -21,8 +21,8 @@
     "upgrade",
 ];
 
-/// Leaves only the headers that pass a node: none that belong to one connection, and none of
-/// quetzalrack's own, which a caller could use to pretend to be a node.
+/// Removes the headers that a node does not forward: hop-by-hop headers, those that the connection
+/// header names, and quetzalrack's own, with which a caller could pose as a node.
 pub(in crate::traffic) fn retain_passed(map: &mut HeaderMap) {
     let named: Vec<HeaderName> = map
         .get_all(header::CONNECTION)
@@ -44,7 +44,7 @@
     }
 }
 
-/// Sets a header to the text of a value; identifiers and names always make valid headers.
+/// Sets a header to the text of a value; the text of identifiers and names is always valid.
 pub(in crate::traffic) fn put<T>(map: &mut HeaderMap, name: &'static str, value: T)
 where
     T: ToString,
--- a/crates/node/src/traffic/hop/read_ahead.rs
+++ b/crates/node/src/traffic/hop/read_ahead.rs
@@ -1,28 +1,28 @@
-//! Reading small answers whole.
+//! Buffering of small response bodies.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// How long a body may stand still before it counts as broken.
+/// How long a body may make no progress before it counts as broken.
 pub(in crate::traffic) const STALL: Duration = Duration::from_secs(10);
 
-/// Is what was read of an answer's body.
+/// The part of a response's body that was read.
 #[derive(Debug)]
 pub(in crate::traffic) enum ReadAhead {
-    /// The whole body.
+    /// The complete body.
     Whole(Bytes),
-    /// The body is longer than the limit; this much was read.
+    /// The first part of a body that is longer than the limit.
     Longer(Bytes),
-    /// The body broke off before its end.
+    /// The body failed or stalled before its end.
     Broken,
 }
 
-/// Reads an answer's body up to a limit.
+/// Reads a response's body up to a limit.
 ///
-/// A small answer that breaks off midway becomes a plain refusal in this way, which may be tried
-/// again, instead of a connection cut under the caller.
+/// If a small body fails partway, the caller gets a refusal, after which the request may be
+/// retried, instead of an aborted connection.
 pub(in crate::traffic) async fn read_ahead(
     answer: &mut reqwest::Response,
     limit: usize,
--- a/crates/node/src/traffic/hop/whole_answer.rs
+++ b/crates/node/src/traffic/hop/whole_answer.rs
@@ -1,14 +1,14 @@
-//! Checking that an answer belongs to its request.
+//! Matching a response to its attempt.
 
 use axum::http::HeaderMap;
 use quetzalrack_core::ids::AttemptId;
 use quetzalrack_wire::headers;
 
-/// Tells whether an answer names the attempt it belongs to.
+/// Tells whether a response carries the id of its attempt, exactly once.
 ///
-/// A backend server or node that thaws may answer an older request on a connection that already
-/// carries the next one; the wrong caller would get a whole and plausible answer. Attempt ids are
-/// random, so a crossed answer never carries the right one.
+/// A backend server or node that resumes after a pause may answer an older request on a connection
+/// that already carries the next one; the wrong caller would get a complete and plausible response.
+/// Attempt ids are random, so a response to another request never carries the right one.
 pub(in crate::traffic) fn echoes(answer: &HeaderMap, attempt: AttemptId) -> bool {
     let mut values = answer.get_all(headers::ATTEMPT).iter();
     let first = values.next().and_then(|value| value.to_str().ok());
