--- a/crates/node/src/traffic/ingress/anywhere.rs
+++ b/crates/node/src/traffic/ingress/anywhere.rs
@@ -1,4 +1,4 @@
-//! Requests that any backend server of a service may answer.
+//! Load-balanced requests, which any backend server of a service may answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,17 +20,17 @@
 use crate::traffic::refusal::Refusal;
 use crate::traffic::traffic_core::TrafficCore;
 
-/// How many nodes one request may try, hedges included.
+/// The most nodes to which one request is sent, hedges included.
 const ATTEMPTS: usize = 3;
 
-/// Is where a request goes, and a straggler that is measured beside it.
+/// The node chosen for a request, and a straggler that gets a copy so that its latency is measured.
 struct Target {
     member: Member,
     measured: Option<Member>,
 }
 
 impl TrafficCore {
-    /// Sends a request to a chosen node, and to another if that is worth it and within budget.
+    /// Sends a request to a chosen node, and retries at others as far as the retry budget allows.
     pub(super) async fn run_anywhere(self: &Arc<Self>, call: &Call, payload: Payload) -> Answer {
         self.wait_for_table(call).await?;
         let mut tried = Vec::new();
@@ -59,8 +59,8 @@
         Err(refused.unwrap_or_else(|| RefusalCode::NoServer.into()))
     }
 
-    /// Sends a straggler a copy of a request and lets it run to its end, so that its latency is
-    /// known. Nobody waits for it; it is paid for like every second attempt.
+    /// Sends a straggler a copy of a request, so that its latency is measured. Nobody waits for the
+    /// response; the copy is charged to the retry budget like every second attempt.
     fn measure_beside(self: &Arc<Self>, call: &Call, straggler: Member, payload: Payload) {
         let service = &call.matched.service.name;
         if call.matched.route.method != Method::Get || !self.ingress.seconds.withdraw(service) {
@@ -68,16 +68,16 @@
         }
         let core = Arc::clone(self);
         let mut hop = call.attempt(payload, None);
-        // It is a request of the node's own: whatever becomes of it, what the caller is told of
-        // its request stays true.
+        // The copy has its own request id: its outcome must not affect what the caller is told
+        // about the original request.
         hop.request = RequestId(Uuid::new_v4());
         tokio::spawn(async move {
             let _ = core.send_to(&straggler, hop).await;
         });
     }
 
-    /// Makes one attempt and, when it is slow, a second one beside it. The one that is not needed
-    /// is dropped, which cancels its work.
+    /// Makes one attempt and, if it is slow, a concurrent second one. The attempt that is not
+    /// needed is dropped, which cancels its work.
     async fn attempt(
         self: &Arc<Self>,
         call: &Call,
@@ -176,8 +176,7 @@
     }
 }
 
-/// Tells whether another attempt may help: the work did not run, or may run twice and its answer
-/// was lost.
+/// Tells whether to retry: the work did not run, or it may run twice and its response was lost.
 fn may_retry(refusal: &Refusal) -> bool {
     match refusal.code {
         RefusalCode::DeadlineNotRun => false,
--- a/crates/node/src/traffic/ingress/call.rs
+++ b/crates/node/src/traffic/ingress/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request on its way.
+//! A caller's request.
 
 use axum::http::HeaderMap;
 use quetzalrack_core::ids::AttemptId;
@@ -11,7 +11,7 @@
 use crate::traffic::hop::HopRequest;
 use crate::traffic::payload::Payload;
 
-/// Is a caller's request, from which attempts are made.
+/// A caller's request, from which attempts are made.
 #[derive(Debug)]
 pub(super) struct Call {
     pub(super) request: RequestId,
@@ -23,7 +23,7 @@
 }
 
 impl Call {
-    /// Makes one attempt at the request.
+    /// Creates an attempt at the request.
     pub(super) fn attempt(&self, payload: Payload, slice: Option<SliceId>) -> HopRequest {
         HopRequest {
             request: self.request,
--- a/crates/node/src/traffic/ingress/caller_answer.rs
+++ b/crates/node/src/traffic/ingress/caller_answer.rs
@@ -1,4 +1,4 @@
-//! The answer as it goes back to the caller.
+//! The response to the caller.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 use crate::traffic::refusal::Refusal;
 use crate::traffic::traffic_core::TrafficCore;
 
-/// Headers that only nodes need.
+/// Headers for nodes, which are removed from responses to callers.
 const BETWEEN_NODES: &[&str] = &[
     headers::ATTEMPT,
     headers::LOAD,
@@ -30,7 +30,7 @@
 ];
 
 impl TrafficCore {
-    /// Finishes an answer for the caller and counts it.
+    /// Builds the response to the caller and counts the request's outcome.
     pub(super) fn answer_caller(self: &Arc<Self>, call: &Call, answer: Answer) -> Response<Body> {
         let latency = self.clock.now().since(call.arrived);
         match answer {
@@ -49,7 +49,7 @@
                     route:% = call.matched.route.name,
                     code:% = refusal.code,
                     waited_ms = latency.as_millis() as u64;
-                    "refused"
+                    "request refused"
                 );
                 self.explain_refusal(call, &refusal, latency);
                 self.refuse_caller(call.request, refusal)
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Remembers why a request was refused, so that its caller's question can be answered.
+    /// Records why a request was refused, so that an operator can look it up by its request id.
     fn explain_refusal(&self, call: &Call, refusal: &Refusal, waited: Duration) {
         self.view.refusals.record(Explanation {
             at: self.clock.wall(),
@@ -88,7 +88,7 @@
         response
     }
 
-    /// Counts an answer as served only once its body went out whole.
+    /// Counts a response as served only once its whole body has been sent.
     fn count_when_whole(
         self: &Arc<Self>,
         call: &Call,
--- a/crates/node/src/traffic/ingress/ingress_node.rs
+++ b/crates/node/src/traffic/ingress/ingress_node.rs
@@ -1,4 +1,4 @@
-//! What ingress keeps between requests.
+//! The state that ingress keeps between requests.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -18,17 +18,17 @@
 use super::second_attempts::SecondAttempts;
 use crate::traffic::config::TrafficConfig;
 
-/// How long a new connection to another node may take.
+/// How long opening a connection to another node may take.
 const CONNECT: Duration = Duration::from_millis(250);
-/// How often the host checks that the far side of a silent connection still exists.
+/// The interval of TCP keepalive probes on a silent connection.
 const KEEPALIVE: Duration = Duration::from_secs(5);
-/// Idle connections kept to each other node.
+/// The most idle connections kept to each other node.
 const IDLE: usize = 64;
-/// How many requests may wait for an owner at once; the others are refused, so that an ownerless
-/// slice does not fill the node with waiting requests.
+/// The most requests that wait for an owner at once. Further ones are refused, so that waiting
+/// requests for a slice without an owner do not exhaust the node.
 const WAITERS: usize = 512;
 
-/// Keeps connections to other nodes, the choice among them and the budgets of second attempts.
+/// Holds the connections to other nodes, the load balancer and the budgets of second attempts.
 pub(in crate::traffic) struct Ingress {
     pub(super) client: Client,
     pub(super) routes: RouteCache,
--- a/crates/node/src/traffic/ingress/intake.rs
+++ b/crates/node/src/traffic/ingress/intake.rs
@@ -1,4 +1,4 @@
-//! Taking a request in: a caller's, or one that another node passes on.
+//! Handling of requests on the traffic port, from callers and from other nodes.
 
 use std::sync::Arc;
 
@@ -29,10 +29,10 @@
 use crate::traffic::refusal::Refusal;
 use crate::traffic::traffic_core::TrafficCore;
 
-/// The most that a request's headers may take, in bytes.
+/// The largest total size of a request's headers, in bytes.
 const HEADERS: usize = 32 * 1024;
-/// The most that the body of work which must not repeat may take, whatever its route allows: it is
-/// kept whole while it is digested.
+/// The largest body of a non-repeatable request, even if its route allows more: it is buffered
+/// completely to compute its digest.
 const GATE_BODY: u64 = 8 * 1024 * 1024;
 
 impl TrafficCore {
@@ -84,7 +84,7 @@
         self.answer_caller(&call, answer)
     }
 
-    /// Answers a request that another node passed on.
+    /// Answers a request that another node has forwarded.
     async fn take_hop(
         self: &Arc<Self>,
         parts: Parts,
@@ -150,8 +150,9 @@
         }
     }
 
-    /// Reads a small body whole, so that the request can be sent again, and prepares a large one to
-    /// be passed on as it arrives.
+    /// Buffers a small body, so that the request can be sent again; a large one is streamed.
+    ///
+    /// The bodies of GET requests and of non-repeatable requests are buffered whatever their size.
     async fn read_body(
         &self,
         matched: &MatchedRoute,
@@ -176,7 +177,7 @@
         let deadline = matched.route.deadline_ms.as_duration();
         match tokio::time::timeout(deadline, read).await {
             Ok(Ok(bytes)) => Ok(Payload::Whole(bytes)),
-            // Nothing was sent on yet, so nothing ran.
+            // Nothing was sent yet, so nothing ran.
             Ok(Err(_)) if length.is_none() => Err(RefusalCode::BodyTooLarge.into()),
             Ok(Err(_)) => Err(RefusalCode::BodyBroken.into()),
             Err(_) => Err(RefusalCode::DeadlineNotRun.into()),
@@ -184,8 +185,8 @@
     }
 }
 
-/// Returns path and query in the form in which they are sent on. Dot segments and stray characters
-/// are resolved before the route is found, so that no hop sees another path than the one matched.
+/// Normalizes path and query. Dot segments are resolved and special characters are escaped before
+/// the route is matched, so that every hop sees the path that was matched.
 fn normal_target(parts: &Parts) -> Option<String> {
     let given = parts.uri.path_and_query()?.as_str();
     let url = Url::parse("http://node").ok()?.join(given).ok()?;
--- a/crates/node/src/traffic/ingress/mod.rs
+++ b/crates/node/src/traffic/ingress/mod.rs
@@ -1,4 +1,4 @@
-//! Ingress: taking a caller's request and finding the node that answers it.
+//! Ingress: receives callers' requests and sends them to the node that answers.
 
 mod anywhere;
 mod call;
--- a/crates/node/src/traffic/ingress/owned.rs
+++ b/crates/node/src/traffic/ingress/owned.rs
@@ -1,4 +1,4 @@
-//! Requests that only the owner of their key's slice may answer.
+//! Keyed requests, which only the owner of the key's slice may answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,17 +17,17 @@
 use crate::traffic::refusal::Refusal;
 use crate::traffic::traffic_core::TrafficCore;
 
-/// How many times a request follows a node's word on who owns its slice.
+/// How many times in a row a request is redirected to the owner that a refusing node names.
 const HOPS: usize = 2;
-/// The longest wait for an owner: a lost one is replaced within this time, or the caller had
-/// better come back later.
+/// The longest wait for an owner. If a lost owner is not replaced within this time, the caller is
+/// told to retry later.
 const OWNER_WAIT: Duration = Duration::from_secs(3);
-/// What must be left of the deadline after the wait for it to have been worth it.
+/// The time that must be left before the deadline when the wait for an owner ends.
 const ANSWER_TIME: Duration = Duration::from_millis(100);
-/// How often the views are looked at during the wait.
+/// The interval at which the views are polled during the wait.
 const LOOK: Duration = Duration::from_millis(10);
 
-/// Is how the views looked when an attempt failed.
+/// The part of the shared views whose change ends a wait for an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Seen {
     routing: RoutingVersion,
@@ -35,7 +35,7 @@
 }
 
 impl TrafficCore {
-    /// Sends a request to the owner of its slice, and follows the slice when it moves.
+    /// Sends a request to the owner of its slice, and to the next owner if the slice moves.
     pub(super) async fn run_owned(self: &Arc<Self>, call: &Call, payload: Payload) -> Answer {
         let mut lost = None;
         let answer = self.follow_owner(call, payload, &mut lost).await;
@@ -86,15 +86,15 @@
                     }
                 }
                 RefusalCode::ServerUnreachable | RefusalCode::NotReady => {}
-                // Repeatable work whose answer was lost is worth another try, which finds the
-                // next owner if this one is gone.
+                // Repeatable work whose response was lost is retried; the retry finds the next
+                // owner if this one is gone.
                 RefusalCode::AnswerLost if self.may_repeat(call, payload.as_ref()) => {
                     *lost = Some(refusal);
                     continue;
                 }
                 _ => return Err(refusal),
             }
-            // Nothing ran: the slice is moving, or its owner is gone.
+            // The work did not run: the slice is moving, or its owner is gone.
             self.wait_for_change(call, seen, give_up).await?;
             hops = 0;
         }
@@ -111,7 +111,8 @@
         slice_in(&call.matched, &call.headers, &routing).map(|(slice, _)| slice)
     }
 
-    /// Finds the owner: this node by its own leases, or another by its word or the routing table.
+    /// Returns the owner: this node if it holds the lease, else the node that a refusal named or
+    /// the routing table's owner.
     fn owner(&self, slice: &SliceId, named: Option<NodeName>) -> Option<Member> {
         let routing = self.view.routing.load();
         let owner = match self.owns(slice) {
@@ -137,8 +138,8 @@
         }
     }
 
-    /// Waits until this node has a routing table at all: one that has just started knows no server yet,
-    /// and that does not mean that there is none.
+    /// Waits until this node has received a routing table. A node that has just started knows no
+    /// backend server yet, which does not mean that there is none.
     pub(super) async fn wait_for_table(&self, call: &Call) -> Result<(), Refusal> {
         let give_up = self.owner_deadline(call);
         loop {
@@ -156,7 +157,7 @@
         latest.min(self.clock.now() + OWNER_WAIT)
     }
 
-    /// Waits until the views change, or refuses when waiting serves nobody any more.
+    /// Waits until the views change; refuses at `wait_until`, or if too many requests wait already.
     async fn wait_for_change(
         &self,
         call: &Call,
--- a/crates/node/src/traffic/ingress/remote.rs
+++ b/crates/node/src/traffic/ingress/remote.rs
@@ -1,4 +1,4 @@
-//! Sending an attempt to a node, this one or another.
+//! Sending an attempt to this node's egress or to another node.
 
 use std::io;
 use std::sync::Arc;
@@ -27,14 +27,14 @@
 use crate::traffic::refusal::Refusal;
 use crate::traffic::traffic_core::TrafficCore;
 
-/// How long past the deadline an ingress waits, so that the far node's own refusal arrives, which
-/// knows whether the work ran.
+/// How long ingress waits past the deadline for the other node's refusal, which tells whether the
+/// work ran.
 const GRACE: Duration = Duration::from_millis(50);
 
 pub(super) type Answer = Result<Response<Body>, Refusal>;
 
 impl TrafficCore {
-    /// Sends an attempt to a node and returns the answer or the refusal.
+    /// Sends an attempt to a node and returns its response or refusal.
     pub(super) async fn send_to(self: &Arc<Self>, member: &Member, hop: HopRequest) -> Answer {
         let _outstanding = self.ingress.outstanding(&member.node);
         if member.node == self.config.node {
@@ -66,12 +66,12 @@
             })
         })?;
         if !echoes(answer.headers(), attempt) {
-            log::warn!(event = "answer_crossed", node:% = member.node, attempt:% = attempt; "dropped");
+            log::warn!(event = "answer_crossed", node:% = member.node, attempt:% = attempt; "dropped a response to another attempt");
             return Err(RefusalCode::AnswerLost.into());
         }
         self.learn_load(member, answer.headers());
         if let Some(refusal) = Refusal::read(answer.headers()) {
-            // Read to its end, so that the connection can be used again.
+            // The body is read to its end, so that the connection can be reused.
             let _ = read_ahead(&mut answer, BUFFERED as usize).await;
             return Err(refusal);
         }
@@ -124,7 +124,7 @@
     }
 }
 
-/// Drops the headers that belong to the hop and keeps those that name the answer's origin.
+/// Removes the headers that are not forwarded, except those that name the response's origin.
 fn without_hop(mut map: HeaderMap) -> HeaderMap {
     let kept = [headers::SERVER, headers::SLICE, headers::FENCE]
         .map(|name| (name, map.get(name).cloned()));
@@ -137,7 +137,7 @@
     map
 }
 
-/// Passes an answer on as it arrives; one that breaks off cuts the caller's connection.
+/// Forwards a response's body as it arrives; if it fails, the caller's connection is aborted.
 fn passing_body(first: Bytes, answer: reqwest::Response) -> Body {
     let start = (Some(first).filter(|bytes| !bytes.is_empty()), Some(answer));
     Body::from_stream(stream::unfold(start, |(first, answer)| async move {
--- a/crates/node/src/traffic/ingress/route_cache.rs
+++ b/crates/node/src/traffic/ingress/route_cache.rs
@@ -1,4 +1,4 @@
-//! The routes of the document in force.
+//! A cache of the route table.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use quetzalrack_core::intent::InForce;
 use quetzalrack_core::traffic::routes::RouteTable;
 
-/// Keeps the route table of the document in force, and builds it anew when that changes.
+/// Holds the route table of the document in force, and rebuilds it when the document changes.
 #[derive(Debug, Default)]
 pub(super) struct RouteCache {
     built: ArcSwapOption<Built>,
--- a/crates/node/src/traffic/ingress/second_attempts.rs
+++ b/crates/node/src/traffic/ingress/second_attempts.rs
@@ -1,4 +1,4 @@
-//! Retry budgets and hedge waits by service and route.
+//! Retry budgets by service and hedge delays by route.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -13,7 +13,7 @@
 use quetzalrack_core::traffic::retry::RetryBudget;
 use quetzalrack_core::traffic::routes::MatchedRoute;
 
-/// Keeps one budget a service, which its retries and hedges share, and one hedge wait a route.
+/// Holds one budget per service, which its retries and hedges share, and one hedge delay per route.
 #[derive(Debug, Default)]
 pub(super) struct SecondAttempts {
     services: Mutex<HashMap<ServiceName, ServiceState>>,
@@ -26,14 +26,14 @@
 }
 
 impl SecondAttempts {
-    /// Takes the price of one second attempt from the service's budget.
+    /// Takes one second attempt from the service's budget; false if the budget is used up.
     pub(super) fn withdraw(&self, service: &ServiceName) -> bool {
         let mut services = self.lock();
         let state = services.entry(service.clone()).or_default();
         state.budget.withdraw()
     }
 
-    /// Counts an answered request.
+    /// Records the latency of an answered request and adds to the service's budget.
     pub(super) fn answered(&self, matched: &MatchedRoute, now: Moment, latency: Duration) {
         let mut services = self.lock();
         let state = services.entry(matched.service.name.clone()).or_default();
@@ -42,7 +42,7 @@
         hedge.record(now, latency);
     }
 
-    /// Returns how long an attempt may take before a second one starts beside it.
+    /// Returns how long an attempt may take before a hedge is sent.
     pub(super) fn hedge_wait(&self, matched: &MatchedRoute) -> Option<Duration> {
         let services = self.lock();
         let state = services.get(&matched.service.name)?;
