--- a/crates/node/src/traffic/egress/answer_body.rs
+++ b/crates/node/src/traffic/egress/answer_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer that is passed on as it arrives.
+//! Streaming of response bodies.
 
 use std::io;
 use std::time::Duration;
@@ -13,20 +13,20 @@
 use super::served::HeldSlot;
 use crate::traffic::hop::STALL;
 
-/// How many pieces are kept for a reader that is slower than the backend server.
+/// The most chunks buffered for a reader that is slower than the backend server.
 const AHEAD: usize = 4;
 
-/// Is what the body's task tells its reader.
+/// A message from the task that receives the body to its reader.
 enum Piece {
     Data(Bytes),
     End,
 }
 
-/// Makes a body that passes an answer on, one piece at a time, and holds the slot until its end.
+/// Creates a body that forwards a response chunk by chunk, and holds the slot until its end.
 ///
-/// An answer that breaks off ends the stream with an error, so that the caller's connection is cut
-/// and a truncated artwork never looks like a whole one. A reader that takes nothing for a while
-/// is cut too: its slot would be missing to all others.
+/// If the response fails partway, the stream ends with an error, so that the caller's connection is
+/// aborted and a truncated body never looks complete. A reader that stalls is aborted too, because
+/// its slot is not available to other requests.
 pub(super) fn passing_body(
     first: Bytes,
     answer: reqwest::Response,
@@ -45,7 +45,7 @@
     }))
 }
 
-/// Passes the pieces on until the end; dropping the slot on the way cancels the work.
+/// Forwards the chunks until the end; dropping the slot before that cancels the work.
 async fn pass_on(
     first: Bytes,
     mut answer: reqwest::Response,
@@ -72,7 +72,7 @@
                 held.end(AttemptOutcome::Lost);
                 return;
             }
-            // It stands still in the middle of an answer and may go on later.
+            // The backend server stalled partway and may still resume, so the work is cancelled.
             Err(_) => return,
         }
     }
--- a/crates/node/src/traffic/egress/answers.rs
+++ b/crates/node/src/traffic/egress/answers.rs
@@ -1,4 +1,4 @@
-//! Judging the backend server's answers and labelling those that pass.
+//! Checking of the backend server's responses and their headers.
 
 use axum::body::Body;
 use axum::http::HeaderMap;
@@ -16,14 +16,14 @@
 use crate::traffic::hop::retain_passed;
 use crate::traffic::refusal::Refusal;
 
-/// Is the part of an answer's beginning that passes the node.
+/// The status and headers of a response that is forwarded.
 pub(super) struct Passed {
     pub(super) status: StatusCode,
     pub(super) map: HeaderMap,
 }
 
 impl Egress {
-    /// Judges the beginning of an answer.
+    /// Checks the status and headers of a response. If it is refused, its slot is released.
     pub(super) fn examine(&self, head: Head) -> Result<(Head, Passed), Refusal> {
         let map = head.answer.headers();
         let not_run = map
@@ -31,9 +31,9 @@
             .is_some_and(|value| value == "true");
         let status = head.answer.status();
         if !echoes(map, head.held.origin().attempt) {
-            log::warn!(event = "answer_crossed", attempt:% = head.held.origin().attempt; "dropped");
+            log::warn!(event = "answer_crossed", attempt:% = head.held.origin().attempt; "dropped a response to another attempt");
             self.link.renew();
-            // The attempt itself may still be running, so its slot is dropped, not ended: it is
+            // The attempt itself may still be running, so its slot is dropped, not released: it is
             // free once the backend server has confirmed the cancellation.
             return Err(RefusalCode::AnswerLost.into());
         }
@@ -59,7 +59,7 @@
         response
     }
 
-    /// Says in an answer's headers who gave it, and how loaded the backend server is.
+    /// Sets the headers that name a response's origin and the backend server's load.
     pub(super) fn label(&self, map: &mut HeaderMap, origin: &Origin) {
         put(map, headers::ATTEMPT, origin.attempt);
         put(map, headers::SERVER, &origin.server);
--- a/crates/node/src/traffic/egress/attempt.rs
+++ b/crates/node/src/traffic/egress/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at the backend server.
+//! Sending one attempt to the backend server.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -12,20 +12,20 @@
 use super::served::HeldSlot;
 use super::served::Outgoing;
 
-/// How long an attempt may still take once the backend server has confirmed its cancellation.
+/// How long to wait for the end of an attempt once its cancellation is confirmed.
 const STOPPED: Duration = Duration::from_secs(1);
 
-/// Is the beginning of an answer, with the slot that its body still holds.
+/// A response whose status and headers have arrived, with the slot that its body still holds.
 pub(super) struct Head {
     pub(super) answer: reqwest::Response,
     pub(super) held: HeldSlot,
     pub(super) latency: Duration,
 }
 
-/// Sends a request and waits for the beginning of its answer.
+/// Sends a request and waits for the status and headers of its response.
 ///
-/// The attempt runs in a task of its own: when the caller goes away, the task cancels the work at
-/// the backend server and keeps the slot until the work has surely ended.
+/// The attempt runs in its own task: if the caller disconnects, the task cancels the work at the
+/// backend server and holds the slot until the work is known to have ended.
 pub(super) async fn send(egress: &Arc<Egress>, outgoing: Outgoing) -> Result<Head, RefusalCode> {
     let (sender, receiver) = oneshot::channel();
     tokio::spawn(run(Arc::clone(egress), outgoing, sender));
@@ -70,9 +70,9 @@
         }
         None => {
             let _ = waiting.send(Err(RefusalCode::DeadlineUnknown));
-            // The connection is kept until the backend server answers, it breaks, or the stop is
-            // confirmed and has had its time: only then is the slot surely free. The late answer
-            // goes to nobody.
+            // The slot is known to be free only once the backend server responds, the connection
+            // fails, or the cancellation is confirmed and its timeout has passed. The connection
+            // is kept until then. A late response is discarded.
             tokio::select! {
                 late = &mut answer => drop(late),
                 () = egress.cancel_surely(held.origin()) => {
@@ -86,7 +86,8 @@
 
 fn judge_error(error: &reqwest::Error) -> (AttemptOutcome, RefusalCode) {
     match error.is_connect() {
-        // No answer to the connection says less than its refusal: the host may be busy.
+        // Unlike a refused connection, a timeout does not mean that the server is unreachable: the
+        // host may be busy.
         true if error.is_timeout() => (AttemptOutcome::Lost, RefusalCode::ServerUnreachable),
         true => (AttemptOutcome::Unreachable, RefusalCode::ServerUnreachable),
         false => (AttemptOutcome::Lost, RefusalCode::AnswerLost),
--- a/crates/node/src/traffic/egress/backend_link.rs
+++ b/crates/node/src/traffic/egress/backend_link.rs
@@ -1,4 +1,4 @@
-//! The connections to the backend server beside the node.
+//! HTTP connections to the backend server beside the node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,17 +12,17 @@
 use reqwest::Client;
 use reqwest::redirect::Policy;
 
-/// How long a new connection may take. It is below the lease's margin, so that a request which was
-/// allowed by the lease is written before the lease ends at its successor.
+/// How long opening a connection may take. It is below the lease's margin, so that a request which
+/// the lease allowed is written before the lease ends for its successor.
 const CONNECT: Duration = Duration::from_millis(50);
-/// How often the host checks that the far side of a silent connection still exists.
+/// The interval of TCP keepalive probes on a silent connection.
 const KEEPALIVE: Duration = Duration::from_secs(5);
 /// How long the backend server may take to confirm a cancellation or a probe.
 const CONTROL: Duration = Duration::from_secs(2);
-/// Connections left to grants, cancellations and probes.
+/// Connections reserved for grants, cancellations and probes.
 const RESERVED: u32 = 8;
 
-/// Keeps warm connections to the backend server, fewer than it accepts.
+/// Keeps open connections to the backend server, fewer than it accepts.
 pub(super) struct BackendLink {
     requests: ArcSwap<Client>,
     control: Client,
@@ -38,8 +38,8 @@
         })
     }
 
-    /// Fits the number of idle connections to what a backend server accepts: those in use never
-    /// exceed its slots, so idle ones may take what is left.
+    /// Limits the idle connections by what a backend server accepts: the connections in use never
+    /// exceed its slots, so the idle ones may use the rest.
     pub(super) fn fit(&self, server: &Announcement) {
         let left = server
             .connections
@@ -50,12 +50,14 @@
         self.renew();
     }
 
-    /// Replaces the pool. After a crossed answer no connection of the old one is used again,
-    /// because the next answer on it would be crossed as well.
+    /// Replaces the connection pool. After a response to another attempt no connection of the old
+    /// pool is reused, since the next response on it would belong to another attempt as well.
     pub(super) fn renew(&self) {
         match build(self.idle.load(Ordering::Relaxed)) {
             Ok(client) => self.requests.store(Arc::new(client)),
-            Err(error) => log::error!(event = "pool_not_renewed", error:% = error; "no new pool"),
+            Err(error) => {
+                log::error!(event = "pool_not_renewed", error:% = error; "the connection pool was not replaced")
+            }
         }
     }
 
@@ -63,14 +65,14 @@
         self.requests.load_full()
     }
 
-    /// Asks the backend server to stop an attempt; tells whether it confirmed.
+    /// Asks the backend server to cancel an attempt; tells whether it confirmed.
     pub(super) async fn cancel(&self, server: SocketAddr, attempt: AttemptId) -> bool {
         let url = format!("http://{server}/control/cancellations/{attempt}");
         let answer = self.control.post(url).timeout(CONTROL).send().await;
         answer.is_ok_and(|answer| answer.status().is_success())
     }
 
-    /// Opens connections ahead, so that no request waits for one.
+    /// Opens connections in advance, so that requests don't wait for them.
     pub(super) async fn warm(&self, server: SocketAddr, count: usize) {
         let client = self.requests();
         let url = format!("http://{server}/control/health");
@@ -78,7 +80,7 @@
             let probe = client.get(&url).timeout(CONTROL).send();
             async move {
                 if let Ok(answer) = probe.await {
-                    // Only a connection whose answer was read whole goes back to the pool.
+                    // Only a connection whose response was read completely returns to the pool.
                     let _ = answer.bytes().await;
                 }
             }
@@ -91,7 +93,7 @@
     Client::builder()
         .no_proxy()
         .redirect(Policy::none())
-        // The library must not send anything twice on its own: only the budget and the gate
+        // The library must not retry on its own: only the retry budget and the idempotency store
         // decide on second attempts.
         .retry(reqwest::retry::never())
         .connect_timeout(CONNECT)
--- a/crates/node/src/traffic/egress/egress_node.rs
+++ b/crates/node/src/traffic/egress/egress_node.rs
@@ -1,4 +1,4 @@
-//! Serving requests by the backend server beside the node.
+//! Serving requests at the backend server beside the node.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -42,10 +42,10 @@
 use crate::traffic::payload::BUFFERED;
 use crate::traffic::refusal::Refusal;
 
-/// How long work for a backend server that is out of service is still taken, while the other nodes
-/// learn of it; refusing it at once would spend their retry budgets.
+/// How long requests are still accepted once the backend server is out of service, until the other
+/// nodes know of it; refusing them at once would use up their retry budgets.
 const OUT_GRACE: Duration = Duration::from_millis(1_500);
-/// How long the backend server is asked again to confirm a cancellation.
+/// The pause before the backend server is asked again to confirm a cancellation.
 const CANCEL_PAUSE: Duration = Duration::from_millis(250);
 
 /// Sends requests to the backend server beside the node, within its limits and under the leases.
@@ -58,11 +58,11 @@
     pub(super) book: Arc<SliceBook>,
     pub(super) load: LoadCounter,
     pub(super) handovers: Handovers,
-    /// How many requests were sent since the node started.
+    /// The number of requests sent since the node started.
     pub(super) sent: AtomicU64,
-    /// Since when the zone or the backend server is out of service; zero while it is in.
+    /// When the zone or the backend server was taken out of service; zero while it is in service.
     pub(super) out_since: AtomicU64,
-    /// The life of the backend server that admission knows.
+    /// The backend server's incarnation that admission control was last told of.
     pub(super) life: AtomicU64,
     pub(super) upkeep: Mutex<Upkeep>,
     gate: Mutex<IdempotencyStore>,
@@ -92,7 +92,7 @@
         })
     }
 
-    /// Answers a request by the backend server, or says why not.
+    /// Sends a request to the backend server and returns its response or a refusal.
     pub(in crate::traffic) async fn serve(
         self: &Arc<Self>,
         hop: HopRequest,
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Waits for a slot and makes the request ready. The lease is compared with the clock at the
-    /// very end, after every wait: a paused holder must find that its lease has lapsed.
+    /// Waits for a slot and builds the request. The lease's expiry is checked last, after every
+    /// wait, so that a holder that was paused notices that its lease has expired.
     pub(super) async fn prepare(
         self: &Arc<Self>,
         hop: HopRequest,
@@ -177,7 +177,7 @@
         })
     }
 
-    /// Returns the grant under which this node may serve a slice right now.
+    /// Returns the grant under which this node may serve a slice now.
     pub(super) fn grant(&self, slice: SliceId) -> Result<Grant, Refusal> {
         let leases = self.view.leases.load();
         let lease = leases.leases.get(&slice);
@@ -195,7 +195,8 @@
         }
     }
 
-    /// Asks the backend server to stop an attempt until it confirms, or until it has a new life.
+    /// Asks the backend server to cancel an attempt until it confirms or a new incarnation of it
+    /// is announced.
     pub(super) async fn cancel_surely(&self, origin: &Origin) {
         loop {
             if self.link.cancel(origin.address, origin.attempt).await {
@@ -223,7 +224,7 @@
         self.gate.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells whether the backend server takes no new work.
+    /// Tells whether the backend server accepts no new requests.
     fn is_out(&self, server: &Announcement) -> bool {
         let out_since = self.out_since.load(Ordering::Relaxed);
         let now = self.clock.now();
@@ -239,8 +240,9 @@
             .ok_or_else(|| RefusalCode::NotReady.into())
     }
 
-    /// Returns the slice of a request by this node's own table, if the ingress agrees. During a
-    /// change of a hot key's slice two tables differ, and only one of the slices is right.
+    /// Returns the slice of a request according to this node's routing table, if ingress found the
+    /// same. While a hot key moves to another slice, the tables of two nodes may differ, and only
+    /// one of the slices is right.
     fn slice_of(&self, hop: &HopRequest) -> Result<(SliceId, KeyHash), Refusal> {
         let routing = self.view.routing.load();
         let found = hop.slice_in(&routing);
--- a/crates/node/src/traffic/egress/gate_pass.rs
+++ b/crates/node/src/traffic/egress/gate_pass.rs
@@ -1,4 +1,4 @@
-//! Work that must not repeat, on its way through the gate.
+//! Non-repeatable requests, which run at most once.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -37,10 +37,10 @@
 use crate::traffic::payload::Payload;
 use crate::traffic::refusal::Refusal;
 
-/// How long past its deadline a caller still waits for the gate's own refusal.
+/// How long past the deadline the caller's refusal is awaited, which is more exact than a timeout.
 const GRACE: Duration = Duration::from_millis(20);
 
-/// How long past the caller's deadline the outcome is waited for, to be kept for a repeat. Then the
+/// How long past the caller's deadline the outcome is awaited, to be stored for a repeat. Then the
 /// work is cancelled, and its outcome stays unknown.
 const OUTCOME_WAIT: Duration = Duration::from_secs(10);
 
@@ -51,12 +51,12 @@
     server: Arc<Announcement>,
     grant: Grant,
     key: IdempotencyKey,
-    /// Set from the moment the request may have been sent.
+    /// Set before the request is sent.
     sent: Arc<AtomicBool>,
 }
 
 impl Egress {
-    /// Runs work that must not repeat, or returns what became of it before.
+    /// Runs a non-repeatable request, or replays the stored response of an earlier run.
     pub(super) async fn pass_gate(
         self: &Arc<Self>,
         hop: HopRequest,
@@ -90,7 +90,7 @@
             sent: Arc::default(),
         };
         let sent = Arc::clone(&pass.sent);
-        // The work goes on when its caller goes away: its outcome is wanted for the repeat.
+        // The work continues if the caller disconnects: a repeat of the request needs its outcome.
         let (sender, receiver) = oneshot::channel();
         tokio::spawn(async move {
             let _ = sender.send(pass.run(hop).await);
--- a/crates/node/src/traffic/egress/load_counter.rs
+++ b/crates/node/src/traffic/egress/load_counter.rs
@@ -1,4 +1,4 @@
-//! The load by slice and key.
+//! Request rates by slice and key.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -10,12 +10,12 @@
 use quetzalrack_core::traffic::KeyLoad;
 use quetzalrack_core::traffic::SliceLoad;
 
-/// How many keys are followed at once; the least asked for makes room for a new one.
+/// The most keys counted at once; a new key replaces the one with the lowest count.
 const KEYS: usize = 64;
-/// How many keys are reported.
+/// The most keys reported.
 const REPORTED: usize = 32;
 
-/// Counts requests by slice, and those of the hottest keys by key.
+/// Counts requests by slice, and by key for the hottest keys.
 #[derive(Debug, Default)]
 pub(super) struct LoadCounter {
     state: Mutex<State>,
@@ -34,7 +34,7 @@
     key: KeyHash,
 }
 
-/// Is the load of one measuring period.
+/// The request rates of one measuring period.
 #[derive(Debug, Default)]
 pub(super) struct PeriodLoad {
     pub(super) slices: Vec<SliceLoad>,
@@ -50,13 +50,13 @@
             slice: slice.clone(),
             key,
         };
-        // A new key takes over the count of the one it displaces, so that a key which is hot but
-        // late is not overlooked; counts can only be too high by that much.
+        // A new key inherits the count of the key it replaces, so that a key which becomes hot late
+        // is not evicted again. Its count may be too high by the inherited count, never too low.
         let inherited = state.displace(&place);
         *state.keys.entry(place).or_insert(inherited) += 1;
     }
 
-    /// Returns the rates since the last call.
+    /// Returns the rates since the last call and resets the counts.
     pub(super) fn take(&self, now: Moment) -> PeriodLoad {
         let taken = {
             let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/node/src/traffic/egress/mod.rs
+++ b/crates/node/src/traffic/egress/mod.rs
@@ -1,4 +1,4 @@
-//! Egress: the only way to the backend server beside the node.
+//! Egress: sends requests to the backend server beside the node. All its requests go through here.
 
 mod answer_body;
 mod answers;
--- a/crates/node/src/traffic/egress/outgoing.rs
+++ b/crates/node/src/traffic/egress/outgoing.rs
@@ -1,4 +1,4 @@
-//! Making the request for the backend server.
+//! Building the HTTP request to the backend server.
 
 use std::sync::atomic::Ordering;
 
@@ -14,7 +14,7 @@
 use crate::traffic::refusal::Refusal;
 
 impl Egress {
-    /// Makes the request that goes to the backend server.
+    /// Builds the HTTP request to the backend server.
     pub(super) fn outgoing(
         &self,
         hop: HopRequest,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Returns a document's method as the HTTP library names it.
+/// Converts a document's method into that of the HTTP client.
 pub(in crate::traffic) fn http_method(method: Method) -> reqwest::Method {
     match method {
         Method::Get => reqwest::Method::GET,
--- a/crates/node/src/traffic/egress/served.rs
+++ b/crates/node/src/traffic/egress/served.rs
@@ -1,4 +1,4 @@
-//! A request as egress sends it.
+//! A request to the backend server and the slot that it holds.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,14 +17,14 @@
 use super::slice_book::SliceUse;
 use super::slots::Slot;
 
-/// Is the grant under which a request is sent.
+/// The grant under which a request is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Grant {
     pub(super) slice: SliceId,
     pub(super) fence: Fence,
 }
 
-/// Is what every answer to one request carries.
+/// The attempt, backend server and grant that the headers of a response name.
 #[derive(Clone, Debug)]
 pub(super) struct Origin {
     pub(super) attempt: AttemptId,
@@ -46,11 +46,11 @@
     }
 }
 
-/// Is a slot in use by a request that was sent.
+/// A slot in use by a request that was sent.
 ///
-/// A backend server that froze with a request in hand goes on with it when it thaws, whoever has
-/// stopped waiting. So a slot that is dropped before its request's end is known stays taken until
-/// the backend server has confirmed the cancellation.
+/// A backend server that was frozen while it ran a request continues with it afterwards, even if
+/// nobody waits for the response. A slot that is dropped before its request is known to have ended
+/// therefore stays in use until the backend server has confirmed the cancellation.
 pub(super) struct HeldSlot {
     egress: Arc<Egress>,
     origin: Origin,
@@ -80,7 +80,7 @@
         &self.origin
     }
 
-    /// Gives the slot back: the request's end is known.
+    /// Releases the slot of a request whose outcome is known.
     pub(super) fn end(mut self, end: AttemptOutcome) {
         if let Some(inner) = self.inner.take() {
             inner.slot.end(end);
@@ -95,7 +95,7 @@
         };
         let egress = Arc::clone(&self.egress);
         let origin = self.origin.clone();
-        // Dropped outside the traffic threads only while the process goes down.
+        // There is no runtime only while the process shuts down.
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
             runtime.spawn(async move {
                 egress.cancel_surely(&origin).await;
@@ -105,11 +105,11 @@
     }
 }
 
-/// Is a request ready to be sent.
+/// A request that is ready to be sent.
 pub(super) struct Outgoing {
     pub(super) request: reqwest::Request,
     pub(super) held: HeldSlot,
-    /// When to give up.
+    /// When to cancel the request.
     pub(super) deadline: Option<Moment>,
     pub(super) exceeded: Arc<AtomicBool>,
 }
--- a/crates/node/src/traffic/egress/slice_book.rs
+++ b/crates/node/src/traffic/egress/slice_book.rs
@@ -1,4 +1,4 @@
-//! The requests in flight by slice.
+//! Requests in flight by slice.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use quetzalrack_core::ids::SliceId;
 use tokio::sync::Notify;
 
-/// Counts the requests in flight of every slice, so that a slice is handed over only when none is
+/// Counts the requests in flight for each slice, so that a slice is handed over only when none is
 /// left.
 #[derive(Debug, Default)]
 pub(super) struct SliceBook {
@@ -24,7 +24,7 @@
     drained: Option<Fence>,
 }
 
-/// Is one request's place in the book.
+/// Counts one request as in flight until it is dropped.
 #[derive(Debug)]
 pub(super) struct SliceUse {
     book: Arc<SliceBook>,
@@ -32,7 +32,7 @@
 }
 
 impl SliceBook {
-    /// Enters a request under a grant; none if the slice is being drained under it.
+    /// Starts to count a request under a grant; none if the slice is closed for this grant.
     pub(super) fn enter(self: &Arc<Self>, slice: &SliceId, fence: Fence) -> Option<SliceUse> {
         let mut uses = self.lock();
         let entry = uses.entry(slice.clone()).or_default();
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Closes the slice for requests under this grant and earlier ones.
+    /// Closes the slice for requests under this grant and earlier grants.
     pub(super) fn close(&self, slice: &SliceId, fence: Fence) {
         let mut uses = self.lock();
         let entry = uses.entry(slice.clone()).or_default();
--- a/crates/node/src/traffic/egress/slice_moves.rs
+++ b/crates/node/src/traffic/egress/slice_moves.rs
@@ -1,4 +1,4 @@
-//! Changes of ownership, as egress takes part in them.
+//! Handover of slices between owners.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,11 +15,11 @@
 use crate::shared::Handover;
 use crate::shared::HandoverLink;
 
-/// How long a slice's requests may take to finish before it is handed over all the same. What is
-/// still running then is handed over as unknown, so it runs nowhere else.
+/// How long a slice's requests may take to finish before the slice is handed over anyway. Requests
+/// still running then are handed over with an unknown outcome, so that they don't run elsewhere.
 const FINISH: Duration = Duration::from_secs(10);
 
-/// Keeps the memories handed over to this node until their grants arrive.
+/// Holds the idempotency states handed over to this node until the matching grants arrive.
 pub(super) struct Handovers {
     link: Arc<dyn HandoverLink>,
     received: Mutex<HashMap<SliceId, Handover>>,
@@ -41,7 +41,7 @@
 }
 
 impl Egress {
-    /// Adopts what the previous owner remembered, or starts a memory that knows nothing.
+    /// Adopts the idempotency state of the previous owner, or starts with an empty one.
     pub(in crate::traffic) fn prepare_slice(
         &self,
         slice: &SliceId,
@@ -52,7 +52,7 @@
         let memory = handover.and_then(|handover| match IdempotencyState::decode(&handover.memory) {
             Ok(memory) => Some(memory),
             Err(error) => {
-                log::warn!(event = "handover_unreadable", slice:% = slice, error:% = error; "starting empty");
+                log::warn!(event = "handover_unreadable", slice:% = slice, error:% = error; "the idempotency state handed over can't be decoded; starting with an empty one");
                 None
             }
         });
@@ -60,7 +60,7 @@
         self.gate().add_slice(wall, slice, fence, memory);
     }
 
-    /// Finishes a slice's requests and hands its memory over.
+    /// Waits for a slice's requests and hands its idempotency state over.
     pub(in crate::traffic) async fn drain_slice(
         &self,
         slice: &SliceId,
@@ -70,7 +70,7 @@
         self.book.close(slice, fence);
         let finished = self.book.wait_until_empty(slice);
         if tokio::time::timeout(FINISH, finished).await.is_err() {
-            log::warn!(event = "drain_cut_short", slice:% = slice; "requests still in flight");
+            log::warn!(event = "drain_cut_short", slice:% = slice; "handing the slice over with requests in flight");
         }
         let memory = self.gate().remove_slice(slice, fence);
         let (Some(memory), Some(successor)) = (memory, successor) else {
@@ -79,7 +79,7 @@
         let memory = match memory.encode() {
             Ok(memory) => memory,
             Err(error) => {
-                log::error!(event = "handover_unwritten", slice:% = slice, error:% = error; "not handed over");
+                log::error!(event = "handover_unwritten", slice:% = slice, error:% = error; "the idempotency state can't be encoded; it is not handed over");
                 return;
             }
         };
@@ -89,17 +89,18 @@
             memory,
         };
         if !self.handovers.link.hand_over(successor, handover).await {
-            log::warn!(event = "handover_unconfirmed", slice:% = slice; "successor starts empty");
+            log::warn!(event = "handover_unconfirmed", slice:% = slice; "the successor did not confirm the idempotency state; it starts with an empty one");
         }
     }
 
-    /// Forgets a slice whose lease ended without a handover.
+    /// Discards the idempotency state of a slice whose lease ended without a handover.
     pub(in crate::traffic) fn forget_slice(&self, slice: &SliceId, fence: Fence) {
         self.book.close(slice, fence);
         self.gate().remove_slice(slice, fence);
     }
 
-    /// Keeps a memory until the matching grant arrives; a newer one replaces an older one.
+    /// Stores an idempotency state until the matching grant arrives; a newer one replaces an older
+    /// one.
     pub(in crate::traffic) fn receive_handover(&self, handover: Handover) {
         let received = &self.handovers.received;
         let mut received = received.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/node/src/traffic/egress/slots.rs
+++ b/crates/node/src/traffic/egress/slots.rs
@@ -1,4 +1,4 @@
-//! The slots of the backend server, as tasks ask for them.
+//! Admission of requests to the backend server's slots.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 use quetzalrack_core::traffic::refusal::RefusalCode;
 use tokio::sync::oneshot;
 
-/// Gives out slots as [`Admission`] decides.
+/// Assigns slots to waiting tasks as [`Admission`] decides.
 pub(super) struct Slots {
     clock: Arc<dyn Clock>,
     state: Mutex<State>,
@@ -37,7 +37,7 @@
 
 type Waiter = oneshot::Sender<Result<Slot, RefusalCode>>;
 
-/// Is a slot of the backend server; the holder says how its request ended.
+/// A slot of the backend server; its holder reports the outcome of the request.
 pub(super) struct Slot {
     slots: Arc<Slots>,
     ticket: Ticket,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Waits for a slot. Dropping the future gives the place in the line back.
+    /// Waits for a slot. Dropping the future removes the request from the wait queue.
     pub(super) async fn acquire(
         self: &Arc<Self>,
         route: &RouteSpec,
@@ -80,11 +80,11 @@
             priority: route.priority,
             deadline,
         }));
-        // The sender is dropped without a word only if the process is going down.
+        // The sender is dropped without a result only while the process shuts down.
         receiver.await.unwrap_or(Err(RefusalCode::Overloaded))
     }
 
-    /// Passes an event on and hands out what follows from it.
+    /// Passes an event to admission control and sends its decisions to the waiting tasks.
     pub(super) fn step(self: &Arc<Self>, event: AdmissionEvent) {
         let mut given = Vec::new();
         {
@@ -98,7 +98,7 @@
                 given.push((state.waiting.remove(&ticket), outcome));
             }
         }
-        // Outside the lock: a slot whose taker has gone is dropped here, and takes the lock again.
+        // Sent outside the lock: a slot whose task has gone is dropped here, which locks again.
         for (waiter, outcome) in given {
             if let Some(waiter) = waiter {
                 let _ = waiter.send(outcome);
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Returns the load as other nodes are told of it.
+    /// Returns the load that is reported to other nodes.
     pub(super) fn load(&self) -> NodeLoad {
         let state = self.lock();
         let waiting = u32::try_from(state.admission.waiting()).unwrap_or(u32::MAX);
@@ -147,7 +147,7 @@
 }
 
 impl Slot {
-    /// Gives the slot back.
+    /// Releases the slot.
     pub(super) fn end(mut self, end: AttemptOutcome) {
         self.give_back(end);
     }
@@ -164,7 +164,7 @@
 }
 
 impl Drop for Slot {
-    /// A slot that is dropped was never used, or its request ended in a way that says nothing.
+    /// Releases a slot that was never used, or whose request ended without a usable outcome.
     fn drop(&mut self) {
         self.give_back(AttemptOutcome::Abandoned);
     }
--- a/crates/node/src/traffic/egress/upkeep.rs
+++ b/crates/node/src/traffic/egress/upkeep.rs
@@ -1,4 +1,4 @@
-//! What egress does between requests.
+//! Periodic work of egress.
 
 use std::sync::Arc;
 use std::sync::PoisonError;
@@ -15,14 +15,14 @@
 
 use super::Egress;
 
-/// How often waiting requests are looked at again.
+/// The interval at which admission control is run while requests wait.
 const TICK: Duration = Duration::from_millis(5);
-/// How often the rest is looked after while none wait; each look costs the host a wake-up.
+/// The interval of periodic work while no request waits; every run costs the host a wake-up.
 const IDLE_TICK: Duration = Duration::from_millis(50);
-/// How long a leaving node waits for work that goes on without a caller.
+/// How long a shutdown waits for work that continues without a caller.
 const IDLE_WAIT: Duration = Duration::from_secs(10);
 
-/// Is what egress last took over from the views.
+/// The state of the backend server that egress last applied from the shared views.
 #[derive(Debug, Default)]
 pub(super) struct Upkeep {
     announced: Option<Arc<Announcement>>,
@@ -31,7 +31,7 @@
 }
 
 impl Egress {
-    /// Follows the backend server's announcements and the passing of time, for ever.
+    /// Applies changes of the shared views and runs admission control periodically, forever.
     pub(in crate::traffic) async fn keep_up(self: Arc<Self>) {
         loop {
             self.follow_announcement();
@@ -45,16 +45,16 @@
         }
     }
 
-    /// Makes sure that admission knows the life of the backend server that is about to be asked.
-    /// Otherwise the first requests to a restarted one would be sent under the limit of its
-    /// warm predecessor.
+    /// Makes sure that admission control knows the backend server's current incarnation. Otherwise
+    /// the first requests to a restarted server would be sent under the limit of its warm
+    /// predecessor.
     pub(super) fn follow_life(self: &Arc<Self>, server: &Announcement) {
         if self.life.load(Ordering::Acquire) != server.incarnation.0 {
             self.follow_announcement();
         }
     }
 
-    /// Returns the current counts.
+    /// Returns the current load, and the request rates since the last call.
     pub(in crate::traffic) fn measure(&self) -> TrafficStats {
         let now = self.clock.now();
         let load = self.slots.load();
@@ -69,12 +69,12 @@
         }
     }
 
-    /// Returns the load as other nodes are told of it.
+    /// Returns the load that is reported to other nodes.
     pub(in crate::traffic) fn load(&self) -> NodeLoad {
         self.slots.load()
     }
 
-    /// Returns what the backend server was given since the node started.
+    /// Returns the number of requests sent to the backend server since the node started.
     pub(in crate::traffic) fn work(&self) -> Vec<WorkSample> {
         let announced = self.view.announcement.load_full();
         let sample = announced.map(|server| WorkSample {
@@ -85,8 +85,8 @@
         sample.into_iter().collect()
     }
 
-    /// Resolves once no slot is in use, or after a while: a frozen backend server must not keep
-    /// the node from leaving.
+    /// Resolves once no slot is in use, or after a timeout: a frozen backend server must not block
+    /// the node's shutdown.
     pub(in crate::traffic) async fn wait_until_idle(&self) {
         let give_up = self.clock.now() + IDLE_WAIT;
         while self.slots.in_flight().0 > 0 && self.clock.now() < give_up {
@@ -121,7 +121,7 @@
         self.warm_ahead(&mut upkeep, &server);
     }
 
-    /// Opens connections for as many requests as the limit allows, whenever it has doubled.
+    /// Opens as many connections as the limit allows requests, whenever the limit has doubled.
     fn warm_ahead(self: &Arc<Self>, upkeep: &mut Upkeep, server: &Announcement) {
         let limit = self.slots.limit().0 as usize;
         if limit < upkeep.warmed * 2 || limit == upkeep.warmed {
