--- a/crates/node/src/traffic/config.rs
+++ b/crates/node/src/traffic/config.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads are told at start.
+//! The configuration of the traffic threads.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 
 use crate::platform::KeyStore;
 
-/// Is what the traffic threads need besides the shared views.
+/// The configuration of the traffic threads; everything else they read from the shared views.
 #[derive(Clone, Debug)]
 pub struct TrafficConfig {
     /// The node's name.
@@ -18,16 +18,16 @@
     pub zone: ZoneName,
     /// The address to listen on.
     pub address: IpAddr,
-    /// The port to listen on; zero lets the host choose.
+    /// The port to listen on; zero lets the operating system choose.
     pub port: u16,
-    /// How many threads carry traffic.
+    /// The number of traffic threads.
     pub threads: usize,
-    /// The keys by which nodes know each other.
+    /// The keys with which nodes authenticate each other's requests.
     pub keys: Arc<KeyStore>,
-    /// How a node is chosen where any may answer.
+    /// How a node is chosen for a request that any node of the service may answer.
     pub choice: BalancingPolicy,
-    /// Whether slow requests are sent a second time.
+    /// Whether slow requests are hedged.
     pub hedging: bool,
-    /// Seeds the choice, so that an experiment can be repeated.
+    /// The seed of the load balancer's random choices, so that an experiment can be repeated.
     pub seed: u64,
 }
--- a/crates/node/src/traffic/counters.rs
+++ b/crates/node/src/traffic/counters.rs
@@ -1,4 +1,4 @@
-//! The counts of what callers got.
+//! Counts of request outcomes, as seen by callers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use quetzalrack_core::ids::ServiceName;
 use quetzalrack_core::traffic::routes::MatchedRoute;
 
-/// Counts outcomes and latencies by route, since the process started.
+/// Counts outcomes and latencies by route since the process started.
 #[derive(Debug, Default)]
 pub(super) struct Counters {
     routes: RwLock<BTreeMap<RoutePlace, Arc<Mutex<RouteCounts>>>>,
@@ -27,7 +27,7 @@
 }
 
 impl Counters {
-    /// Counts one request as its caller saw it.
+    /// Counts one request with the outcome and latency that its caller saw.
     pub(super) fn record(
         &self,
         matched: &MatchedRoute,
@@ -52,7 +52,7 @@
         counts.record(outcome, latency);
     }
 
-    /// Copies the counts.
+    /// Returns a copy of the counts of every route.
     pub(super) fn sample(&self) -> Vec<RouteSample> {
         let routes = self.routes.read().unwrap_or_else(PoisonError::into_inner);
         routes
--- a/crates/node/src/traffic/error.rs
+++ b/crates/node/src/traffic/error.rs
@@ -1,24 +1,24 @@
-//! Why the traffic port can't be served.
+//! Errors at the start of the traffic threads.
 
 use std::io;
 use std::net::SocketAddr;
 
-/// Says why the traffic threads did not start.
+/// The reason why the traffic threads did not start.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum TrafficError {
-    /// The port is taken or not allowed.
+    /// The port is in use or not permitted.
     #[error("can't listen on {address}")]
     Bind {
-        /// The wanted address.
+        /// The requested address.
         address: SocketAddr,
-        /// What the host said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The host gave no threads.
+    /// The operating system could not start the threads.
     #[error("can't start the traffic threads")]
     Threads(#[source] io::Error),
-    /// The HTTP library refused its settings.
+    /// The HTTP client could not be built.
     #[error("can't set up outgoing connections")]
     Connections(#[source] reqwest::Error),
 }
--- a/crates/node/src/traffic/mod.rs
+++ b/crates/node/src/traffic/mod.rs
@@ -1,7 +1,7 @@
 //! The path of a request: ingress, the hop between nodes, egress, the backend server.
 //!
-//! It runs on threads of its own and reads the views of [`crate::shared`]; the decisions are those
-//! of [`quetzalrack_core::traffic`]. See `docs/design/traffic.md`.
+//! It runs on its own threads and reads the views in [`crate::shared`]. The decisions are made in
+//! [`quetzalrack_core::traffic`]. See `docs/design/traffic.md`.
 
 mod config;
 mod counters;
--- a/crates/node/src/traffic/payload.rs
+++ b/crates/node/src/traffic/payload.rs
@@ -1,4 +1,4 @@
-//! The body of a request on its way to a backend server.
+//! The body of a request to a backend server.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -8,19 +8,19 @@
 use bytes::Bytes;
 use futures::StreamExt;
 
-/// A body up to this size is read whole before anything is sent, so that it can be sent again.
+/// The largest body that is buffered before anything is sent, so that it can be sent again.
 pub(super) const BUFFERED: u64 = 64 * 1024;
 
-/// Is a request's body.
+/// The body of a request.
 #[derive(Debug)]
 pub(super) enum Payload {
-    /// Read whole; may be sent more than once.
+    /// Read completely; may be sent more than once.
     Whole(Bytes),
-    /// Passed on as it arrives; may be sent once.
+    /// Forwarded as it arrives; can be sent only once.
     Streamed(StreamedBody),
 }
 
-/// Is a body that is passed on as it arrives.
+/// A body that is forwarded as it arrives.
 #[derive(Debug)]
 pub(super) struct StreamedBody {
     body: Body,
@@ -28,7 +28,7 @@
     exceeded: Arc<AtomicBool>,
 }
 
-/// Says that a body grew past what its route accepts.
+/// The error that ends a streamed body which exceeds its route's limit.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 #[error("the body is larger than the route accepts")]
@@ -45,7 +45,7 @@
 }
 
 impl Payload {
-    /// Returns a copy if the body may be sent again.
+    /// Returns a copy if the body can be sent again.
     pub(super) fn again(&self) -> Option<Self> {
         match self {
             Self::Whole(bytes) => Some(Self::Whole(bytes.clone())),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns a flag that tells, once the body was sent, whether it grew too large.
+    /// Returns a flag that is set if the body exceeds its route's limit while it is sent.
     pub(super) fn exceeded(&self) -> Arc<AtomicBool> {
         match self {
             Self::Whole(_) => Arc::default(),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Turns the body into that of an outgoing request.
+    /// Converts the body into that of an outgoing request; none if it is empty.
     pub(super) fn into_outgoing(self) -> Option<reqwest::Body> {
         let streamed = match self {
             Self::Whole(bytes) if bytes.is_empty() => return None,
--- a/crates/node/src/traffic/refusal.rs
+++ b/crates/node/src/traffic/refusal.rs
@@ -1,4 +1,4 @@
-//! A refusal on its way to a caller or to another node.
+//! The refusal that a node sends to a caller or to another node.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
 use quetzalrack_wire::headers;
 use serde::Serialize;
 
-/// How long a caller should wait where nothing better is known.
+/// How long a caller should wait before a retry if nothing more precise is known.
 const USUAL_RETRY: Duration = Duration::from_millis(500);
 
-/// Is the answer of a node to a request that no backend server answered.
+/// A node's response to a request that no backend server has answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Refusal {
     pub(super) code: RefusalCode,
@@ -44,7 +44,7 @@
 }
 
 impl Refusal {
-    /// Says that the node does not own the slice, and who it believes does.
+    /// Refuses a request for a slice that the node does not own, and names the owner if known.
     pub(super) fn not_owner(owner: Option<NodeName>) -> Self {
         Self {
             owner,
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Returns what to tell the caller after an earlier attempt was refused as well. Once an
-    /// attempt may have run, no later one can make "not run" true.
+    /// Returns the refusal for the caller after an earlier attempt was refused as well. Once an
+    /// attempt may have run, a later "not run" does not hold for the request as a whole.
     pub(super) fn after(self, earlier: Option<Self>) -> Self {
         match earlier {
             Some(earlier)
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Reads a refusal that another node sent; none if the answer is a backend server's.
+    /// Parses the refusal of another node; none if the response is a backend server's.
     pub(super) fn read(answer: &HeaderMap) -> Option<Self> {
         let text = |name: &str| answer.get(name).and_then(|value| value.to_str().ok());
         let code = text(headers::REFUSAL)?.parse::<RefusalCode>().ok()?;
@@ -78,7 +78,7 @@
         })
     }
 
-    /// Makes the answer.
+    /// Converts the refusal into an HTTP response.
     pub(super) fn into_response(self) -> Response<Body> {
         let body = RefusalBody {
             code: self.code,
@@ -99,7 +99,7 @@
             HeaderValue::from_static(self.code.as_str()),
         );
         if let Some(span) = self.retry {
-            // The header has whole seconds; rounding up keeps a caller from coming too early.
+            // The header has whole seconds; rounding down would make callers retry too early.
             let seconds = span.as_millis().div_ceil(1_000) as u64;
             map.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
         }
--- a/crates/node/src/traffic/running_traffic.rs
+++ b/crates/node/src/traffic/running_traffic.rs
@@ -1,4 +1,4 @@
-//! The running traffic threads.
+//! Start and stop of the traffic threads.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,14 +15,14 @@
 use crate::shared::HandoverLink;
 use crate::shared::SharedView;
 
-/// How long connections are still accepted, and closed by their next answer, after the node was
-/// asked to finish; by then the other nodes and the callers have gone elsewhere.
+/// How long connections are still accepted, and closed with their next response, after a shutdown
+/// was requested; within this time the other nodes and the callers move to other nodes.
 pub(super) const LAST_CALL: Duration = Duration::from_millis(500);
 
 /// Opens the traffic port.
 pub struct Traffic;
 
-/// Is the open traffic port with its threads; dropping it cuts every request.
+/// The open traffic port and its threads; dropping it aborts every request.
 pub struct RunningTraffic {
     pub(super) core: Arc<TrafficCore>,
     pub(super) finish: watch::Sender<bool>,
@@ -32,9 +32,9 @@
 }
 
 impl Traffic {
-    /// Opens the traffic port and serves it on threads of its own.
+    /// Opens the traffic port and serves it on its own threads.
     ///
-    /// Fails if the port is taken or the host gives no threads.
+    /// Fails if the port is in use or the operating system can't start the threads.
     pub fn bind(
         config: TrafficConfig,
         view: Arc<SharedView>,
@@ -78,7 +78,7 @@
 }
 
 impl RunningTraffic {
-    /// Returns the address on which requests are taken.
+    /// Returns the address on which requests are accepted.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/node/src/traffic/server.rs
+++ b/crates/node/src/traffic/server.rs
@@ -1,4 +1,4 @@
-//! The traffic port.
+//! The HTTP server on the traffic port.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 use super::error::TrafficError;
 use super::traffic_core::TrafficCore;
 
-/// How many connections may wait to be accepted.
+/// The most connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
 /// Opens the traffic port.
@@ -36,7 +36,7 @@
     open().map_err(|source| TrafficError::Bind { address, source })
 }
 
-/// Serves the traffic port until `finish` turns true and every request after it is answered.
+/// Serves the traffic port until `shutdown` turns true and every open request is answered.
 pub(super) async fn serve(
     listener: TcpListener,
     core: Arc<TrafficCore>,
@@ -45,7 +45,7 @@
     let router = Router::new().fallback(answer).with_state(core);
     let listener = listener.tap_io(|stream| {
         if let Err(error) = stream.set_nodelay(true) {
-            log::debug!(event = "nodelay_refused", error:% = error; "delayed packets possible");
+            log::debug!(event = "nodelay_refused", error:% = error; "TCP_NODELAY was not set; small packets may be delayed");
         }
     });
     let finished = async move {
@@ -53,15 +53,15 @@
     };
     let served = axum::serve(listener, router).with_graceful_shutdown(finished);
     if let Err(error) = served.await {
-        log::error!(event = "traffic_port_failed", error:% = error; "no more requests are taken");
+        log::error!(event = "traffic_port_failed", error:% = error; "the traffic port no longer accepts requests");
     }
 }
 
 async fn answer(State(core): State<Arc<TrafficCore>>, request: Request) -> Response<Body> {
     let mut response = Arc::clone(&core).take_in(request).await;
     if core.finishing.load(Ordering::Acquire) {
-        // A connection closed while idle may cross with its next request, which the caller would
-        // see as cut. One that is closed by its answer can't.
+        // If an idle connection is closed while the caller sends its next request, that request
+        // is lost. A close announced in a response avoids this race.
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
--- a/crates/node/src/traffic/traffic_control.rs
+++ b/crates/node/src/traffic/traffic_control.rs
@@ -1,4 +1,4 @@
-//! The traffic threads' side of the control thread's requests.
+//! The traffic threads' implementation of the control thread's requests.
 
 use std::sync::atomic::Ordering;
 
--- a/crates/node/src/traffic/traffic_core.rs
+++ b/crates/node/src/traffic/traffic_core.rs
@@ -1,4 +1,4 @@
-//! What all traffic threads share.
+//! The state that all traffic threads share.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -13,7 +13,7 @@
 use crate::shared::HandoverLink;
 use crate::shared::SharedView;
 
-/// Holds everything that a request needs on its way.
+/// The state that ingress and egress use to serve requests.
 pub(super) struct TrafficCore {
     pub(super) config: TrafficConfig,
     pub(super) view: Arc<SharedView>,
@@ -22,7 +22,7 @@
     pub(super) counters: Counters,
     pub(super) egress: Arc<Egress>,
     pub(super) ingress: Ingress,
-    /// Set once the node finishes: every answer then ends its connection.
+    /// Set once the node shuts down: every response then closes its connection.
     pub(super) finishing: AtomicBool,
 }
 
