--- a/crates/node/src/traffic/counters.rs
+++ b/crates/node/src/traffic/counters.rs
@@ -17,11 +17,11 @@
 /// Counts outcomes and latencies by route since the process started.
 #[derive(Debug, Default)]
 pub(super) struct Counters {
-    routes: RwLock<BTreeMap<RoutePlace, Arc<Mutex<RouteCounts>>>>,
+    routes: RwLock<BTreeMap<RouteKey, Arc<Mutex<RouteCounts>>>>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct RoutePlace {
+struct RouteKey {
     service: ServiceName,
     route: RouteName,
 }
@@ -34,7 +34,7 @@
         outcome: RequestOutcome,
         latency: Duration,
     ) {
-        let place = RoutePlace {
+        let key = RouteKey {
             service: matched.service.name.clone(),
             route: matched.route.name.clone(),
         };
@@ -42,11 +42,11 @@
             .routes
             .read()
             .unwrap_or_else(PoisonError::into_inner)
-            .get(&place)
+            .get(&key)
             .cloned();
         let counts = known.unwrap_or_else(|| {
             let mut routes = self.routes.write().unwrap_or_else(PoisonError::into_inner);
-            Arc::clone(routes.entry(place).or_default())
+            Arc::clone(routes.entry(key).or_default())
         });
         let mut counts = counts.lock().unwrap_or_else(PoisonError::into_inner);
         counts.record(outcome, latency);
@@ -57,9 +57,9 @@
         let routes = self.routes.read().unwrap_or_else(PoisonError::into_inner);
         routes
             .iter()
-            .map(|(place, counts)| RouteSample {
-                service: place.service.clone(),
-                route: place.route.clone(),
+            .map(|(key, counts)| RouteSample {
+                service: key.service.clone(),
+                route: key.route.clone(),
                 counts: counts
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner)
--- a/crates/node/src/traffic/egress/attempt.rs
+++ b/crates/node/src/traffic/egress/attempt.rs
@@ -9,16 +9,16 @@
 use tokio::sync::oneshot;
 
 use super::Egress;
-use super::served::HeldSlot;
-use super::served::Outgoing;
+use super::prepared_request::HeldSlot;
+use super::prepared_request::PreparedRequest;
 
 /// How long to wait for the end of an attempt once its cancellation is confirmed.
-const STOPPED: Duration = Duration::from_secs(1);
+const CANCELLED_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A response whose status and headers have arrived, with the slot that its body still holds.
-pub(super) struct Head {
-    pub(super) answer: reqwest::Response,
-    pub(super) held: HeldSlot,
+pub(super) struct StartedResponse {
+    pub(super) response: reqwest::Response,
+    pub(super) held_slot: HeldSlot,
     pub(super) latency: Duration,
 }
 
@@ -26,65 +26,68 @@
 ///
 /// The attempt runs in its own task: if the caller disconnects, the task cancels the work at the
 /// backend server and holds the slot until the work is known to have ended.
-pub(super) async fn send(egress: &Arc<Egress>, outgoing: Outgoing) -> Result<Head, RefusalCode> {
+pub(super) async fn send(
+    egress: &Arc<Egress>,
+    prepared: PreparedRequest,
+) -> Result<StartedResponse, RefusalCode> {
     let (sender, receiver) = oneshot::channel();
-    tokio::spawn(run(Arc::clone(egress), outgoing, sender));
+    tokio::spawn(run(Arc::clone(egress), prepared, sender));
     receiver.await.unwrap_or(Err(RefusalCode::AnswerLost))
 }
 
 async fn run(
     egress: Arc<Egress>,
-    outgoing: Outgoing,
-    mut waiting: oneshot::Sender<Result<Head, RefusalCode>>,
+    prepared: PreparedRequest,
+    mut caller: oneshot::Sender<Result<StartedResponse, RefusalCode>>,
 ) {
-    let Outgoing {
+    let PreparedRequest {
         request,
-        held,
-        deadline,
-        exceeded,
-    } = outgoing;
-    let sent = egress.clock.now();
-    let client = egress.link.requests();
-    let mut answer = std::pin::pin!(client.execute(request));
+        held_slot,
+        cancel_at,
+        body_exceeded,
+    } = prepared;
+    let sent_at = egress.clock.now();
+    let client = egress.client.request_client();
+    let mut response = std::pin::pin!(client.execute(request));
     let outcome = tokio::select! {
-        answer = &mut answer => Some(answer),
-        () = waiting.closed() => None,
-        () = egress.sleep_until(deadline) => None,
+        response = &mut response => Some(response),
+        () = caller.closed() => None,
+        () = egress.sleep_until(cancel_at) => None,
     };
     match outcome {
-        Some(Ok(answer)) => {
-            let latency = egress.clock.now().since(sent);
-            let _ = waiting.send(Ok(Head {
-                answer,
-                held,
+        Some(Ok(response)) => {
+            let latency = egress.clock.now().since(sent_at);
+            let _ = caller.send(Ok(StartedResponse {
+                response,
+                held_slot,
                 latency,
             }));
         }
         Some(Err(error)) => {
-            let (end, code) = match exceeded.load(Ordering::Acquire) {
+            let (outcome, code) = match body_exceeded.load(Ordering::Acquire) {
                 true => (AttemptOutcome::Abandoned, RefusalCode::BodyOverrun),
-                false => judge_error(&error),
+                false => classify_error(&error),
             };
-            held.end(end);
-            let _ = waiting.send(Err(code));
+            held_slot.end(outcome);
+            let _ = caller.send(Err(code));
         }
         None => {
-            let _ = waiting.send(Err(RefusalCode::DeadlineUnknown));
+            let _ = caller.send(Err(RefusalCode::DeadlineUnknown));
             // The slot is known to be free only once the backend server responds, the connection
             // fails, or the cancellation is confirmed and its timeout has passed. The connection
             // is kept until then. A late response is discarded.
             tokio::select! {
-                late = &mut answer => drop(late),
-                () = egress.cancel_surely(held.origin()) => {
-                    let _ = tokio::time::timeout(STOPPED, answer).await;
+                late = &mut response => drop(late),
+                () = egress.cancel_until_confirmed(held_slot.origin()) => {
+                    let _ = tokio::time::timeout(CANCELLED_TIMEOUT, response).await;
                 }
             }
-            held.end(AttemptOutcome::Abandoned);
+            held_slot.end(AttemptOutcome::Abandoned);
         }
     }
 }
 
-fn judge_error(error: &reqwest::Error) -> (AttemptOutcome, RefusalCode) {
+fn classify_error(error: &reqwest::Error) -> (AttemptOutcome, RefusalCode) {
     match error.is_connect() {
         // Unlike a refused connection, a timeout does not mean that the server is unreachable: the
         // host may be busy.
--- a/crates/node/src/traffic/egress/outgoing.rs
+++ b/crates/node/src/traffic/egress/build_request.rs
@@ -8,17 +8,17 @@
 use reqwest::Url;
 
 use super::Egress;
-use super::served::Origin;
+use super::prepared_request::ResponseOrigin;
 use crate::traffic::hop::HopRequest;
-use crate::traffic::hop::put;
+use crate::traffic::hop::set_header;
 use crate::traffic::refusal::Refusal;
 
 impl Egress {
     /// Builds the HTTP request to the backend server.
-    pub(super) fn outgoing(
+    pub(super) fn build_request(
         &self,
         hop: HopRequest,
-        origin: &Origin,
+        origin: &ResponseOrigin,
     ) -> Result<reqwest::Request, Refusal> {
         let left = hop.deadline.since(self.clock.now());
         if left.is_zero() {
@@ -29,15 +29,15 @@
         let mut request = reqwest::Request::new(http_method(hop.matched.route.method), url);
         let map = request.headers_mut();
         *map = hop.headers;
-        put(map, headers::REQUEST, hop.request);
-        put(map, headers::ATTEMPT, hop.attempt);
-        put(map, headers::DEADLINE, left.as_millis());
+        set_header(map, headers::REQUEST, hop.request);
+        set_header(map, headers::ATTEMPT, hop.attempt);
+        set_header(map, headers::DEADLINE, left.as_millis());
         if let Some(grant) = &origin.grant {
-            put(map, headers::SLICE, &grant.slice);
-            put(map, headers::FENCE, grant.fence);
+            set_header(map, headers::SLICE, &grant.slice);
+            set_header(map, headers::FENCE, grant.fence);
         }
-        *request.body_mut() = hop.payload.into_outgoing();
-        self.sent.fetch_add(1, Ordering::Relaxed);
+        *request.body_mut() = hop.payload.into_reqwest();
+        self.sent_count.fetch_add(1, Ordering::Relaxed);
         Ok(request)
     }
 }
--- a/crates/node/src/traffic/egress/egress_node.rs
+++ b/crates/node/src/traffic/egress/egress_node.rs
@@ -22,31 +22,31 @@
 use quetzalrack_core::traffic::idempotency::IdempotencyStore;
 use quetzalrack_core::traffic::refusal::RefusalCode;
 
-use super::answer_body::passing_body;
 use super::attempt;
-use super::backend_link::BackendLink;
+use super::handovers::Handovers;
 use super::load_counter::LoadCounter;
-use super::served::Grant;
-use super::served::HeldSlot;
-use super::served::Origin;
-use super::served::Outgoing;
-use super::slice_book::SliceBook;
-use super::slice_moves::Handovers;
+use super::maintenance::Maintenance;
+use super::prepared_request::Grant;
+use super::prepared_request::HeldSlot;
+use super::prepared_request::PreparedRequest;
+use super::prepared_request::ResponseOrigin;
+use super::response_body::stream_body;
+use super::server_client::ServerClient;
+use super::slice_requests::SliceRequests;
 use super::slots::Slots;
-use super::upkeep::Upkeep;
 use crate::shared::HandoverLink;
 use crate::shared::SharedView;
+use crate::traffic::hop::BufferedBody;
 use crate::traffic::hop::HopRequest;
-use crate::traffic::hop::ReadAhead;
-use crate::traffic::hop::read_ahead;
-use crate::traffic::payload::BUFFERED;
+use crate::traffic::hop::buffer_body;
+use crate::traffic::payload::MAX_BUFFERED_BYTES;
 use crate::traffic::refusal::Refusal;
 
 /// How long requests are still accepted once the backend server is out of service, until the other
 /// nodes know of it; refusing them at once would use up their retry budgets.
-const OUT_GRACE: Duration = Duration::from_millis(1_500);
+const OUT_OF_SERVICE_GRACE: Duration = Duration::from_millis(1_500);
 /// The pause before the backend server is asked again to confirm a cancellation.
-const CANCEL_PAUSE: Duration = Duration::from_millis(250);
+const CANCEL_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Sends requests to the backend server beside the node, within its limits and under the leases.
 pub(in crate::traffic) struct Egress {
@@ -54,18 +54,18 @@
     pub(super) view: Arc<SharedView>,
     pub(super) clock: Arc<dyn Clock>,
     pub(super) slots: Arc<Slots>,
-    pub(super) link: BackendLink,
-    pub(super) book: Arc<SliceBook>,
+    pub(super) client: ServerClient,
+    pub(super) slice_requests: Arc<SliceRequests>,
     pub(super) load: LoadCounter,
     pub(super) handovers: Handovers,
     /// The number of requests sent since the node started.
-    pub(super) sent: AtomicU64,
+    pub(super) sent_count: AtomicU64,
     /// When the zone or the backend server was taken out of service; zero while it is in service.
     pub(super) out_since: AtomicU64,
     /// The backend server's incarnation that admission control was last told of.
-    pub(super) life: AtomicU64,
-    pub(super) upkeep: Mutex<Upkeep>,
-    gate: Mutex<IdempotencyStore>,
+    pub(super) incarnation: AtomicU64,
+    pub(super) maintenance: Mutex<Maintenance>,
+    idempotency: Mutex<IdempotencyStore>,
 }
 
 impl Egress {
@@ -78,15 +78,15 @@
         Ok(Self {
             zone,
             slots: Arc::new(Slots::new(Arc::clone(&clock))),
-            link: BackendLink::new()?,
-            book: Arc::default(),
+            client: ServerClient::new()?,
+            slice_requests: Arc::default(),
             load: LoadCounter::default(),
             handovers: Handovers::new(handovers),
-            sent: AtomicU64::new(0),
+            sent_count: AtomicU64::new(0),
             out_since: AtomicU64::new(0),
-            life: AtomicU64::new(0),
-            upkeep: Mutex::default(),
-            gate: Mutex::new(IdempotencyStore::new(IdempotencySettings::default())),
+            incarnation: AtomicU64::new(0),
+            maintenance: Mutex::default(),
+            idempotency: Mutex::new(IdempotencyStore::new(IdempotencySettings::default())),
             view,
             clock,
         })
@@ -97,47 +97,49 @@
         self: &Arc<Self>,
         hop: HopRequest,
     ) -> Result<Response<Body>, Refusal> {
-        let server = self.server(&hop)?;
-        self.follow_life(&server);
+        let server = self.announced_server(&hop)?;
+        self.update_incarnation(&server);
         let mut grant = None;
         if hop.matched.needs_owner() {
             let (slice, key) = self.slice_of(&hop)?;
-            self.load.count(&slice, key);
+            self.load.record(&slice, key);
             grant = Some(self.grant(slice)?);
-        } else if self.is_out(&server) {
+        } else if self.is_out_of_service(&server) {
             return Err(RefusalCode::OutOfService.into());
         }
         match grant {
             Some(grant) if !hop.matched.route.repeatable => {
-                self.pass_gate(hop, server, grant).await
+                self.serve_non_repeatable(hop, server, grant).await
             }
-            grant => self.pass(hop, server, grant).await,
+            grant => self.forward(hop, server, grant).await,
         }
     }
 
-    async fn pass(
+    async fn forward(
         self: &Arc<Self>,
         hop: HopRequest,
         server: Arc<Announcement>,
         grant: Option<Grant>,
     ) -> Result<Response<Body>, Refusal> {
         let deadline = hop.deadline;
-        let outgoing = self.prepare(hop, &server, grant, Some(deadline)).await?;
-        let head = attempt::send(self, outgoing).await?;
-        let (mut head, passed) = self.examine(head)?;
-        match read_ahead(&mut head.answer, BUFFERED as usize).await {
-            ReadAhead::Whole(body) => {
-                let origin = head.held.origin().clone();
-                head.held.end(AttemptOutcome::Answered(head.latency));
-                Ok(self.response(passed, &origin, Body::from(body)))
+        let prepared = self.prepare(hop, &server, grant, Some(deadline)).await?;
+        let started = attempt::send(self, prepared).await?;
+        let (mut started, head) = self.check_response(started)?;
+        match buffer_body(&mut started.response, MAX_BUFFERED_BYTES as usize).await {
+            BufferedBody::Complete(body) => {
+                let origin = started.held_slot.origin().clone();
+                started
+                    .held_slot
+                    .end(AttemptOutcome::Answered(started.latency));
+                Ok(self.build_response(head, &origin, Body::from(body)))
             }
-            ReadAhead::Longer(first) => {
-                let origin = head.held.origin().clone();
-                let body = passing_body(first, head.answer, head.held, head.latency);
-                Ok(self.response(passed, &origin, body))
+            BufferedBody::Partial(first) => {
+                let origin = started.held_slot.origin().clone();
+                let body = stream_body(first, started.response, started.held_slot, started.latency);
+                Ok(self.build_response(head, &origin, body))
             }
-            ReadAhead::Broken => {
-                head.held.end(AttemptOutcome::Lost);
+            BufferedBody::Broken => {
+                started.held_slot.end(AttemptOutcome::Lost);
                 Err(RefusalCode::AnswerLost.into())
             }
         }
@@ -150,30 +152,30 @@
         hop: HopRequest,
         server: &Announcement,
         grant: Option<Grant>,
-        give_up: Option<Moment>,
-    ) -> Result<Outgoing, Refusal> {
-        let used = match &grant {
+        cancel_at: Option<Moment>,
+    ) -> Result<PreparedRequest, Refusal> {
+        let slice_request = match &grant {
             Some(grant) => Some(
-                self.book
-                    .enter(&grant.slice, grant.fence)
+                self.slice_requests
+                    .start(&grant.slice, grant.fence)
                     .ok_or_else(|| Refusal::not_owner(None))?,
             ),
             None => None,
         };
         let slot = self.slots.acquire(&hop.matched.route, hop.deadline).await?;
-        let origin = Origin::new(hop.attempt, server, grant);
-        let exceeded = hop.payload.exceeded();
-        let request = self.outgoing(hop, &origin)?;
+        let origin = ResponseOrigin::new(hop.attempt, server, grant);
+        let body_exceeded = hop.payload.exceeded();
+        let request = self.build_request(hop, &origin)?;
         if let Some(grant) = &origin.grant
             && self.grant(grant.slice.clone())? != *grant
         {
             return Err(Refusal::not_owner(None));
         }
-        Ok(Outgoing {
+        Ok(PreparedRequest {
             request,
-            held: HeldSlot::new(self, origin, slot, used),
-            deadline: give_up,
-            exceeded,
+            held_slot: HeldSlot::new(self, origin, slot, slice_request),
+            cancel_at,
+            body_exceeded,
         })
     }
 
@@ -197,12 +199,12 @@
 
     /// Asks the backend server to cancel an attempt until it confirms or a new incarnation of it
     /// is announced.
-    pub(super) async fn cancel_surely(&self, origin: &Origin) {
+    pub(super) async fn cancel_until_confirmed(&self, origin: &ResponseOrigin) {
         loop {
-            if self.link.cancel(origin.address, origin.attempt).await {
+            if self.client.cancel(origin.address, origin.attempt).await {
                 return;
             }
-            tokio::time::sleep(CANCEL_PAUSE).await;
+            tokio::time::sleep(CANCEL_RETRY_DELAY).await;
             let server = self.view.announcement.load();
             if server
                 .as_ref()
@@ -220,19 +222,21 @@
         }
     }
 
-    pub(super) fn gate(&self) -> MutexGuard<'_, IdempotencyStore> {
-        self.gate.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(super) fn idempotency(&self) -> MutexGuard<'_, IdempotencyStore> {
+        self.idempotency
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Tells whether the backend server accepts no new requests.
-    fn is_out(&self, server: &Announcement) -> bool {
+    fn is_out_of_service(&self, server: &Announcement) -> bool {
         let out_since = self.out_since.load(Ordering::Relaxed);
         let now = self.clock.now();
         server.state == ServerState::Draining
-            || (out_since != 0 && now.since(Moment(out_since)) > OUT_GRACE)
+            || (out_since != 0 && now.since(Moment(out_since)) > OUT_OF_SERVICE_GRACE)
     }
 
-    fn server(&self, hop: &HopRequest) -> Result<Arc<Announcement>, Refusal> {
+    fn announced_server(&self, hop: &HopRequest) -> Result<Arc<Announcement>, Refusal> {
         self.view
             .announcement
             .load_full()
--- a/crates/node/src/traffic/egress/slice_moves.rs
+++ b/crates/node/src/traffic/egress/handovers.rs
@@ -17,7 +17,7 @@
 
 /// How long a slice's requests may take to finish before the slice is handed over anyway. Requests
 /// still running then are handed over with an unknown outcome, so that they don't run elsewhere.
-const FINISH: Duration = Duration::from_secs(10);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Holds the idempotency states handed over to this node until the matching grants arrive.
 pub(super) struct Handovers {
@@ -49,15 +49,15 @@
         previous: Option<Fence>,
     ) {
         let handover = previous.and_then(|previous| self.handovers.take(slice, previous));
-        let memory = handover.and_then(|handover| match IdempotencyState::decode(&handover.memory) {
-            Ok(memory) => Some(memory),
+        let state = handover.and_then(|handover| match IdempotencyState::decode(&handover.memory) {
+            Ok(state) => Some(state),
             Err(error) => {
                 log::warn!(event = "handover_unreadable", slice:% = slice, error:% = error; "the idempotency state handed over can't be decoded; starting with an empty one");
                 None
             }
         });
         let wall = self.clock.wall();
-        self.gate().add_slice(wall, slice, fence, memory);
+        self.idempotency().add_slice(wall, slice, fence, state);
     }
 
     /// Waits for a slice's requests and hands its idempotency state over.
@@ -67,17 +67,17 @@
         fence: Fence,
         successor: Option<&Member>,
     ) {
-        self.book.close(slice, fence);
-        let finished = self.book.wait_until_empty(slice);
-        if tokio::time::timeout(FINISH, finished).await.is_err() {
+        self.slice_requests.close(slice, fence);
+        let finished = self.slice_requests.wait_until_empty(slice);
+        if tokio::time::timeout(DRAIN_TIMEOUT, finished).await.is_err() {
             log::warn!(event = "drain_cut_short", slice:% = slice; "handing the slice over with requests in flight");
         }
-        let memory = self.gate().remove_slice(slice, fence);
-        let (Some(memory), Some(successor)) = (memory, successor) else {
+        let state = self.idempotency().remove_slice(slice, fence);
+        let (Some(state), Some(successor)) = (state, successor) else {
             return;
         };
-        let memory = match memory.encode() {
-            Ok(memory) => memory,
+        let state = match state.encode() {
+            Ok(state) => state,
             Err(error) => {
                 log::error!(event = "handover_unwritten", slice:% = slice, error:% = error; "the idempotency state can't be encoded; it is not handed over");
                 return;
@@ -86,7 +86,7 @@
         let handover = Handover {
             slice: slice.clone(),
             fence,
-            memory,
+            memory: state,
         };
         if !self.handovers.link.hand_over(successor, handover).await {
             log::warn!(event = "handover_unconfirmed", slice:% = slice; "the successor did not confirm the idempotency state; it starts with an empty one");
@@ -95,8 +95,8 @@
 
     /// Discards the idempotency state of a slice whose lease ended without a handover.
     pub(in crate::traffic) fn forget_slice(&self, slice: &SliceId, fence: Fence) {
-        self.book.close(slice, fence);
-        self.gate().remove_slice(slice, fence);
+        self.slice_requests.close(slice, fence);
+        self.idempotency().remove_slice(slice, fence);
     }
 
     /// Stores an idempotency state until the matching grant arrives; a newer one replaces an older
--- a/crates/node/src/traffic/egress/load_counter.rs
+++ b/crates/node/src/traffic/egress/load_counter.rs
@@ -11,9 +11,9 @@
 use quetzalrack_core::traffic::SliceLoad;
 
 /// The most keys counted at once; a new key replaces the one with the lowest count.
-const KEYS: usize = 64;
+const MAX_COUNTED_KEYS: usize = 64;
 /// The most keys reported.
-const REPORTED: usize = 32;
+const MAX_REPORTED_KEYS: usize = 32;
 
 /// Counts requests by slice, and by key for the hottest keys.
 #[derive(Debug, Default)]
@@ -25,11 +25,11 @@
 struct State {
     since: Moment,
     slices: HashMap<SliceId, u64>,
-    keys: HashMap<Place, u64>,
+    keys: HashMap<SliceKey, u64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Place {
+struct SliceKey {
     slice: SliceId,
     key: KeyHash,
 }
@@ -43,21 +43,21 @@
 
 impl LoadCounter {
     /// Counts one request.
-    pub(super) fn count(&self, slice: &SliceId, key: KeyHash) {
+    pub(super) fn record(&self, slice: &SliceId, key: KeyHash) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         *state.slices.entry(slice.clone()).or_default() += 1;
-        let place = Place {
+        let slice_key = SliceKey {
             slice: slice.clone(),
             key,
         };
         // A new key inherits the count of the key it replaces, so that a key which becomes hot late
-        // is not evicted again. Its count may be too high by the inherited count, never too low.
-        let inherited = state.displace(&place);
-        *state.keys.entry(place).or_insert(inherited) += 1;
+        // is not missed. Its count may be too high by the inherited count, never too low.
+        let inherited = state.evict_lowest(&slice_key);
+        *state.keys.entry(slice_key).or_insert(inherited) += 1;
     }
 
     /// Returns the rates since the last call and resets the counts.
-    pub(super) fn take(&self, now: Moment) -> PeriodLoad {
+    pub(super) fn take_rates(&self, now: Moment) -> PeriodLoad {
         let taken = {
             let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
             let fresh = State {
@@ -75,14 +75,14 @@
         let mut keys: Vec<KeyLoad> = taken
             .keys
             .into_iter()
-            .map(|(place, count)| KeyLoad {
-                service: place.slice.service,
-                key: place.key,
+            .map(|(slice_key, count)| KeyLoad {
+                service: slice_key.slice.service,
+                key: slice_key.key,
                 rate: rate(count),
             })
             .collect();
         keys.sort_by(|a, b| b.rate.total_cmp(&a.rate));
-        keys.truncate(REPORTED);
+        keys.truncate(MAX_REPORTED_KEYS);
         PeriodLoad {
             slices: slices.collect(),
             keys,
@@ -91,17 +91,17 @@
 }
 
 impl State {
-    fn displace(&mut self, place: &Place) -> u64 {
-        if self.keys.len() < KEYS || self.keys.contains_key(place) {
+    fn evict_lowest(&mut self, slice_key: &SliceKey) -> u64 {
+        if self.keys.len() < MAX_COUNTED_KEYS || self.keys.contains_key(slice_key) {
             return 0;
         }
-        let least = self
+        let lowest = self
             .keys
             .iter()
             .min_by_key(|(_, count)| **count)
-            .map(|(place, _)| place.clone());
-        least
-            .and_then(|place| self.keys.remove(&place))
+            .map(|(slice_key, _)| slice_key.clone());
+        lowest
+            .and_then(|slice_key| self.keys.remove(&slice_key))
             .unwrap_or(0)
     }
 }
--- a/crates/node/src/traffic/egress/upkeep.rs
+++ b/crates/node/src/traffic/egress/maintenance.rs
@@ -16,30 +16,30 @@
 use super::Egress;
 
 /// The interval at which admission control is run while requests wait.
-const TICK: Duration = Duration::from_millis(5);
+const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// The interval of periodic work while no request waits; every run costs the host a wake-up.
-const IDLE_TICK: Duration = Duration::from_millis(50);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a shutdown waits for work that continues without a caller.
-const IDLE_WAIT: Duration = Duration::from_secs(10);
+const MAX_IDLE_WAIT: Duration = Duration::from_secs(10);
 
 /// The state of the backend server that egress last applied from the shared views.
 #[derive(Debug, Default)]
-pub(super) struct Upkeep {
-    announced: Option<Arc<Announcement>>,
-    life: Option<Incarnation>,
-    warmed: usize,
+pub(super) struct Maintenance {
+    announcement: Option<Arc<Announcement>>,
+    incarnation: Option<Incarnation>,
+    warmed_count: usize,
 }
 
 impl Egress {
     /// Applies changes of the shared views and runs admission control periodically, forever.
-    pub(in crate::traffic) async fn keep_up(self: Arc<Self>) {
+    pub(in crate::traffic) async fn maintain(self: Arc<Self>) {
         loop {
-            self.follow_announcement();
-            self.follow_orders();
-            let mut pause = IDLE_TICK;
+            self.apply_announcement();
+            self.apply_operator_orders();
+            let mut pause = IDLE_POLL_INTERVAL;
             if self.slots.waiting() > 0 {
-                self.slots.step(AdmissionEvent::Tick);
-                pause = TICK;
+                self.slots.handle_event(AdmissionEvent::Tick);
+                pause = QUEUE_POLL_INTERVAL;
             }
             tokio::time::sleep(pause).await;
         }
@@ -48,9 +48,9 @@
     /// Makes sure that admission control knows the backend server's current incarnation. Otherwise
     /// the first requests to a restarted server would be sent under the limit of its warm
     /// predecessor.
-    pub(super) fn follow_life(self: &Arc<Self>, server: &Announcement) {
-        if self.life.load(Ordering::Acquire) != server.incarnation.0 {
-            self.follow_announcement();
+    pub(super) fn update_incarnation(self: &Arc<Self>, server: &Announcement) {
+        if self.incarnation.load(Ordering::Acquire) != server.incarnation.0 {
+            self.apply_announcement();
         }
     }
 
@@ -58,7 +58,7 @@
     pub(in crate::traffic) fn measure(&self) -> TrafficStats {
         let now = self.clock.now();
         let load = self.slots.load();
-        let period = self.load.take(now);
+        let period = self.load.take_rates(now);
         TrafficStats {
             limit: load.limit,
             in_flight: self.slots.in_flight(),
@@ -75,12 +75,12 @@
     }
 
     /// Returns the number of requests sent to the backend server since the node started.
-    pub(in crate::traffic) fn work(&self) -> Vec<WorkSample> {
-        let announced = self.view.announcement.load_full();
-        let sample = announced.map(|server| WorkSample {
+    pub(in crate::traffic) fn work_samples(&self) -> Vec<WorkSample> {
+        let announcement = self.view.announcement.load_full();
+        let sample = announcement.map(|server| WorkSample {
             service: server.service.clone(),
             server: server.server.clone(),
-            sent: self.sent.load(Ordering::Relaxed),
+            sent: self.sent_count.load(Ordering::Relaxed),
         });
         sample.into_iter().collect()
     }
@@ -88,18 +88,21 @@
     /// Resolves once no slot is in use, or after a timeout: a frozen backend server must not block
     /// the node's shutdown.
     pub(in crate::traffic) async fn wait_until_idle(&self) {
-        let give_up = self.clock.now() + IDLE_WAIT;
+        let give_up = self.clock.now() + MAX_IDLE_WAIT;
         while self.slots.in_flight().0 > 0 && self.clock.now() < give_up {
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(QUEUE_POLL_INTERVAL).await;
         }
     }
 
-    fn follow_announcement(self: &Arc<Self>) {
+    fn apply_announcement(self: &Arc<Self>) {
         let Some(server) = self.view.announcement.load_full() else {
             return;
         };
-        let mut upkeep = self.upkeep.lock().unwrap_or_else(PoisonError::into_inner);
-        let known = upkeep.announced.as_ref();
+        let mut maintenance = self
+            .maintenance
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let known = maintenance.announcement.as_ref();
         if !known.is_some_and(|known| Arc::ptr_eq(known, &server)) {
             let intent = self.view.intent.load();
             let service = intent
@@ -108,32 +111,34 @@
             let Some(service) = service else {
                 return;
             };
-            if upkeep.life != Some(server.incarnation) {
-                self.link.fit(&server);
-                upkeep.life = Some(server.incarnation);
-                upkeep.warmed = 0;
+            if maintenance.incarnation != Some(server.incarnation) {
+                self.client.limit_idle(&server);
+                maintenance.incarnation = Some(server.incarnation);
+                maintenance.warmed_count = 0;
             }
             let profile = ServerProfile::new(&server, service);
-            self.slots.step(AdmissionEvent::ServerAnnounced(profile));
-            self.life.store(server.incarnation.0, Ordering::Release);
-            upkeep.announced = Some(Arc::clone(&server));
+            self.slots
+                .handle_event(AdmissionEvent::ServerAnnounced(profile));
+            self.incarnation
+                .store(server.incarnation.0, Ordering::Release);
+            maintenance.announcement = Some(Arc::clone(&server));
         }
-        self.warm_ahead(&mut upkeep, &server);
+        self.prewarm_connections(&mut maintenance, &server);
     }
 
     /// Opens as many connections as the limit allows requests, whenever the limit has doubled.
-    fn warm_ahead(self: &Arc<Self>, upkeep: &mut Upkeep, server: &Announcement) {
+    fn prewarm_connections(self: &Arc<Self>, maintenance: &mut Maintenance, server: &Announcement) {
         let limit = self.slots.limit().0 as usize;
-        if limit < upkeep.warmed * 2 || limit == upkeep.warmed {
+        if limit < maintenance.warmed_count * 2 || limit == maintenance.warmed_count {
             return;
         }
-        upkeep.warmed = limit;
+        maintenance.warmed_count = limit;
         let egress = Arc::clone(self);
         let address = server.address;
-        tokio::spawn(async move { egress.link.warm(address, limit).await });
+        tokio::spawn(async move { egress.client.open_connections(address, limit).await });
     }
 
-    fn follow_orders(self: &Arc<Self>) {
+    fn apply_operator_orders(self: &Arc<Self>) {
         let Some(server) = self.view.announcement.load_full() else {
             return;
         };
@@ -145,7 +150,7 @@
         match takes_work {
             true if out_since != 0 => {
                 self.out_since.store(0, Ordering::Relaxed);
-                self.slots.step(AdmissionEvent::ServerRestored);
+                self.slots.handle_event(AdmissionEvent::ServerRestored);
             }
             false if out_since == 0 => {
                 let now = self.clock.now().0.max(1);
--- a/crates/node/src/traffic/egress/mod.rs
+++ b/crates/node/src/traffic/egress/mod.rs
@@ -1,18 +1,18 @@
 //! Egress: sends requests to the backend server beside the node. All its requests go through here.
 
-mod answer_body;
-mod answers;
 mod attempt;
-mod backend_link;
+mod build_request;
 mod egress_node;
-mod gate_pass;
+mod handovers;
 mod load_counter;
-mod outgoing;
-mod served;
-mod slice_book;
-mod slice_moves;
+mod maintenance;
+mod non_repeatable_run;
+mod prepared_request;
+mod response_body;
+mod response_head;
+mod server_client;
+mod slice_requests;
 mod slots;
-mod upkeep;
 
+pub(super) use build_request::http_method;
 pub(super) use egress_node::Egress;
-pub(super) use outgoing::http_method;
--- a/crates/node/src/traffic/egress/gate_pass.rs
+++ b/crates/node/src/traffic/egress/non_repeatable_run.rs
@@ -25,28 +25,28 @@
 use tokio::sync::oneshot;
 
 use super::Egress;
-use super::answer_body::passing_body;
-use super::answers::Passed;
 use super::attempt;
-use super::attempt::Head;
-use super::served::Grant;
-use super::served::Origin;
+use super::attempt::StartedResponse;
+use super::prepared_request::Grant;
+use super::prepared_request::ResponseOrigin;
+use super::response_body::stream_body;
+use super::response_head::ResponseHead;
+use crate::traffic::hop::BufferedBody;
 use crate::traffic::hop::HopRequest;
-use crate::traffic::hop::ReadAhead;
-use crate::traffic::hop::read_ahead;
+use crate::traffic::hop::buffer_body;
 use crate::traffic::payload::Payload;
 use crate::traffic::refusal::Refusal;
 
-/// How long past the deadline the caller's refusal is awaited, which is more exact than a timeout.
-const GRACE: Duration = Duration::from_millis(20);
+/// How long past its deadline a caller still waits for the refusal that its own run returns.
+const REFUSAL_GRACE: Duration = Duration::from_millis(20);
 
 /// How long past the caller's deadline the outcome is awaited, to be stored for a repeat. Then the
 /// work is cancelled, and its outcome stays unknown.
 const OUTCOME_WAIT: Duration = Duration::from_secs(10);
 
-type Answer = Result<Response<Body>, Refusal>;
+type ServeResult = Result<Response<Body>, Refusal>;
 
-struct Pass {
+struct NonRepeatableRun {
     egress: Arc<Egress>,
     server: Arc<Announcement>,
     grant: Grant,
@@ -57,13 +57,13 @@
 
 impl Egress {
     /// Runs a non-repeatable request, or replays the stored response of an earlier run.
-    pub(super) async fn pass_gate(
+    pub(super) async fn serve_non_repeatable(
         self: &Arc<Self>,
         hop: HopRequest,
         server: Arc<Announcement>,
         grant: Grant,
-    ) -> Answer {
-        let Payload::Whole(body) = &hop.payload else {
+    ) -> ServeResult {
+        let Payload::Buffered(body) = &hop.payload else {
             return Err(RefusalCode::BodyTooLarge.into());
         };
         let method = hop.matched.route.method.to_string();
@@ -71,32 +71,32 @@
         let key = idempotency_key(&hop)?;
         let wall = self.clock.wall();
         let decision = self
-            .gate()
+            .idempotency()
             .admit(wall, &grant.slice, grant.fence, key, digest);
         match decision {
             IdempotencyDecision::Run => {}
             IdempotencyDecision::Refuse(code) => return Err(code.into()),
-            IdempotencyDecision::Replay(kept) => {
-                let origin = Origin::new(hop.attempt, &server, Some(grant));
-                return Ok(self.repeat(kept, &origin));
+            IdempotencyDecision::Replay(stored) => {
+                let origin = ResponseOrigin::new(hop.attempt, &server, Some(grant));
+                return Ok(self.replay(stored, &origin));
             }
         }
-        let deadline = hop.deadline + GRACE;
-        let pass = Pass {
+        let deadline = hop.deadline + REFUSAL_GRACE;
+        let run = NonRepeatableRun {
             egress: Arc::clone(self),
             server,
             grant,
             key,
             sent: Arc::default(),
         };
-        let sent = Arc::clone(&pass.sent);
+        let sent = Arc::clone(&run.sent);
         // The work continues if the caller disconnects: a repeat of the request needs its outcome.
         let (sender, receiver) = oneshot::channel();
         tokio::spawn(async move {
-            let _ = sender.send(pass.run(hop).await);
+            let _ = sender.send(run.execute(hop).await);
         });
         tokio::select! {
-            answer = receiver => answer.unwrap_or_else(|_| Err(RefusalCode::AnswerLost.into())),
+            result = receiver => result.unwrap_or_else(|_| Err(RefusalCode::AnswerLost.into())),
             () = self.sleep_until(Some(deadline)) => Err(match sent.load(Ordering::Acquire) {
                 true => RefusalCode::DeadlineUnknown.into(),
                 false => RefusalCode::StillRunning.into(),
@@ -104,43 +104,46 @@
         }
     }
 
-    fn repeat(&self, kept: StoredResponse, origin: &Origin) -> Response<Body> {
-        let mut response = Response::new(Body::from(kept.body));
-        *response.status_mut() = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
+    fn replay(&self, stored: StoredResponse, origin: &ResponseOrigin) -> Response<Body> {
+        let mut response = Response::new(Body::from(stored.body));
+        *response.status_mut() = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
         let map = response.headers_mut();
-        for header in kept.headers {
+        for header in stored.headers {
             let name = HeaderName::from_bytes(header.name.as_bytes());
             let value = HeaderValue::from_bytes(&header.value);
             if let (Ok(name), Ok(value)) = (name, value) {
                 map.append(name, value);
             }
         }
-        self.label(response.headers_mut(), origin);
+        self.set_origin_headers(response.headers_mut(), origin);
         response
     }
 }
 
-impl Pass {
-    async fn run(self, hop: HopRequest) -> Answer {
+impl NonRepeatableRun {
+    async fn execute(self, hop: HopRequest) -> ServeResult {
         let grant = Some(self.grant.clone());
-        let give_up = Some(hop.deadline + OUTCOME_WAIT);
-        let prepared = self.egress.prepare(hop, &self.server, grant, give_up).await;
-        let outgoing = match prepared {
-            Ok(outgoing) => outgoing,
+        let cancel_at = Some(hop.deadline + OUTCOME_WAIT);
+        let prepared = self
+            .egress
+            .prepare(hop, &self.server, grant, cancel_at)
+            .await;
+        let prepared = match prepared {
+            Ok(prepared) => prepared,
             Err(refusal) => {
-                self.finish(ExecutionOutcome::NotRun);
+                self.record_outcome(ExecutionOutcome::NotRun);
                 return Err(refusal);
             }
         };
         self.sent.store(true, Ordering::Release);
-        let head = attempt::send(&self.egress, outgoing).await;
-        let examined = head
+        let started = attempt::send(&self.egress, prepared).await;
+        let checked = started
             .map_err(Refusal::from)
-            .and_then(|head| self.egress.examine(head));
-        match examined {
-            Ok((head, passed)) => self.keep(head, passed).await,
+            .and_then(|started| self.egress.check_response(started));
+        match checked {
+            Ok((started, head)) => self.store_response(started, head).await,
             Err(refusal) => {
-                self.finish(match refusal.code.outcome() {
+                self.record_outcome(match refusal.code.outcome() {
                     WorkOutcome::NotRun => ExecutionOutcome::NotRun,
                     WorkOutcome::Unknown => ExecutionOutcome::Unknown,
                     WorkOutcome::Failed => ExecutionOutcome::Failed,
@@ -150,44 +153,50 @@
         }
     }
 
-    async fn keep(&self, mut head: Head, passed: Passed) -> Answer {
-        let limit = self.egress.gate().response_limit();
-        let origin = head.held.origin().clone();
-        match read_ahead(&mut head.answer, limit).await {
-            ReadAhead::Whole(body) => {
-                head.held.end(AttemptOutcome::Answered(head.latency));
-                self.finish(ExecutionOutcome::Answered(kept_answer(
-                    &passed,
+    async fn store_response(
+        &self,
+        mut started: StartedResponse,
+        head: ResponseHead,
+    ) -> ServeResult {
+        let limit = self.egress.idempotency().response_limit();
+        let origin = started.held_slot.origin().clone();
+        match buffer_body(&mut started.response, limit).await {
+            BufferedBody::Complete(body) => {
+                started
+                    .held_slot
+                    .end(AttemptOutcome::Answered(started.latency));
+                self.record_outcome(ExecutionOutcome::Answered(stored_response(
+                    &head,
                     body.clone(),
                 )));
-                Ok(self.egress.response(passed, &origin, Body::from(body)))
+                Ok(self.egress.build_response(head, &origin, Body::from(body)))
             }
-            ReadAhead::Longer(first) => {
-                self.finish(ExecutionOutcome::TooLarge);
-                let body = passing_body(first, head.answer, head.held, head.latency);
-                Ok(self.egress.response(passed, &origin, body))
+            BufferedBody::Partial(first) => {
+                self.record_outcome(ExecutionOutcome::TooLarge);
+                let body = stream_body(first, started.response, started.held_slot, started.latency);
+                Ok(self.egress.build_response(head, &origin, body))
             }
-            ReadAhead::Broken => {
-                head.held.end(AttemptOutcome::Lost);
-                self.finish(ExecutionOutcome::Unknown);
+            BufferedBody::Broken => {
+                started.held_slot.end(AttemptOutcome::Lost);
+                self.record_outcome(ExecutionOutcome::Unknown);
                 Err(RefusalCode::AnswerLost.into())
             }
         }
     }
 
-    fn finish(&self, end: ExecutionOutcome) {
-        let mut gate = self.egress.gate();
-        gate.finish(&self.grant.slice, self.grant.fence, self.key, end);
+    fn record_outcome(&self, outcome: ExecutionOutcome) {
+        let mut store = self.egress.idempotency();
+        store.finish(&self.grant.slice, self.grant.fence, self.key, outcome);
     }
 }
 
-fn kept_answer(passed: &Passed, body: Bytes) -> StoredResponse {
-    let headers = passed.map.iter().map(|(name, value)| StoredHeader {
+fn stored_response(head: &ResponseHead, body: Bytes) -> StoredResponse {
+    let headers = head.headers.iter().map(|(name, value)| StoredHeader {
         name: name.as_str().to_owned(),
         value: value.as_bytes().to_vec(),
     });
     StoredResponse {
-        status: passed.status.as_u16(),
+        status: head.status.as_u16(),
         headers: headers.collect(),
         body,
     }
--- a/crates/node/src/traffic/egress/served.rs
+++ b/crates/node/src/traffic/egress/prepared_request.rs
@@ -14,7 +14,7 @@
 use quetzalrack_core::traffic::admission::AttemptOutcome;
 
 use super::Egress;
-use super::slice_book::SliceUse;
+use super::slice_requests::SliceRequest;
 use super::slots::Slot;
 
 /// The grant under which a request is sent.
@@ -26,7 +26,7 @@
 
 /// The attempt, backend server and grant that the headers of a response name.
 #[derive(Clone, Debug)]
-pub(super) struct Origin {
+pub(super) struct ResponseOrigin {
     pub(super) attempt: AttemptId,
     pub(super) server: ServerName,
     pub(super) address: SocketAddr,
@@ -34,7 +34,7 @@
     pub(super) grant: Option<Grant>,
 }
 
-impl Origin {
+impl ResponseOrigin {
     pub(super) fn new(attempt: AttemptId, server: &Announcement, grant: Option<Grant>) -> Self {
         Self {
             attempt,
@@ -53,37 +53,40 @@
 /// therefore stays in use until the backend server has confirmed the cancellation.
 pub(super) struct HeldSlot {
     egress: Arc<Egress>,
-    origin: Origin,
+    origin: ResponseOrigin,
     inner: Option<Inner>,
 }
 
 struct Inner {
     slot: Slot,
-    _used: Option<SliceUse>,
+    _slice_request: Option<SliceRequest>,
 }
 
 impl HeldSlot {
     pub(super) fn new(
         egress: &Arc<Egress>,
-        origin: Origin,
+        origin: ResponseOrigin,
         slot: Slot,
-        used: Option<SliceUse>,
+        slice_request: Option<SliceRequest>,
     ) -> Self {
         Self {
             egress: Arc::clone(egress),
             origin,
-            inner: Some(Inner { slot, _used: used }),
+            inner: Some(Inner {
+                slot,
+                _slice_request: slice_request,
+            }),
         }
     }
 
-    pub(super) fn origin(&self) -> &Origin {
+    pub(super) fn origin(&self) -> &ResponseOrigin {
         &self.origin
     }
 
     /// Releases the slot of a request whose outcome is known.
-    pub(super) fn end(mut self, end: AttemptOutcome) {
+    pub(super) fn end(mut self, outcome: AttemptOutcome) {
         if let Some(inner) = self.inner.take() {
-            inner.slot.end(end);
+            inner.slot.end(outcome);
         }
     }
 }
@@ -98,7 +101,7 @@
         // There is no runtime only while the process shuts down.
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
             runtime.spawn(async move {
-                egress.cancel_surely(&origin).await;
+                egress.cancel_until_confirmed(&origin).await;
                 inner.slot.end(AttemptOutcome::Abandoned);
             });
         }
@@ -106,10 +109,10 @@
 }
 
 /// A request that is ready to be sent.
-pub(super) struct Outgoing {
+pub(super) struct PreparedRequest {
     pub(super) request: reqwest::Request,
-    pub(super) held: HeldSlot,
+    pub(super) held_slot: HeldSlot,
     /// When to cancel the request.
-    pub(super) deadline: Option<Moment>,
-    pub(super) exceeded: Arc<AtomicBool>,
+    pub(super) cancel_at: Option<Moment>,
+    pub(super) body_exceeded: Arc<AtomicBool>,
 }
--- a/crates/node/src/traffic/egress/answer_body.rs
+++ b/crates/node/src/traffic/egress/response_body.rs
@@ -10,15 +10,15 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-use super::served::HeldSlot;
-use crate::traffic::hop::STALL;
+use super::prepared_request::HeldSlot;
+use crate::traffic::hop::BODY_STALL_TIMEOUT;
 
 /// The most chunks buffered for a reader that is slower than the backend server.
-const AHEAD: usize = 4;
+const MAX_BUFFERED_CHUNKS: usize = 4;
 
 /// A message from the task that receives the body to its reader.
-enum Piece {
-    Data(Bytes),
+enum BodyMessage {
+    Chunk(Bytes),
     End,
 }
 
@@ -27,49 +27,49 @@
 /// If the response fails partway, the stream ends with an error, so that the caller's connection is
 /// aborted and a truncated body never looks complete. A reader that stalls is aborted too, because
 /// its slot is not available to other requests.
-pub(super) fn passing_body(
+pub(super) fn stream_body(
     first: Bytes,
-    answer: reqwest::Response,
-    held: HeldSlot,
+    response: reqwest::Response,
+    held_slot: HeldSlot,
     latency: Duration,
 ) -> Body {
-    let (sender, receiver) = mpsc::channel(AHEAD);
-    tokio::spawn(pass_on(first, answer, held, latency, sender));
+    let (sender, receiver) = mpsc::channel(MAX_BUFFERED_CHUNKS);
+    tokio::spawn(forward_chunks(first, response, held_slot, latency, sender));
     Body::from_stream(stream::unfold(Some(receiver), |receiver| async move {
         let mut receiver = receiver?;
         match receiver.recv().await {
-            Some(Piece::Data(data)) => Some((Ok(data), Some(receiver))),
-            Some(Piece::End) => None,
+            Some(BodyMessage::Chunk(data)) => Some((Ok(data), Some(receiver))),
+            Some(BodyMessage::End) => None,
             None => Some((Err(io::Error::from(io::ErrorKind::UnexpectedEof)), None)),
         }
     }))
 }
 
 /// Forwards the chunks until the end; dropping the slot before that cancels the work.
-async fn pass_on(
+async fn forward_chunks(
     first: Bytes,
-    mut answer: reqwest::Response,
-    held: HeldSlot,
+    mut response: reqwest::Response,
+    held_slot: HeldSlot,
     latency: Duration,
-    reader: mpsc::Sender<Piece>,
+    reader: mpsc::Sender<BodyMessage>,
 ) {
-    if !first.is_empty() && !give(&reader, Piece::Data(first)).await {
+    if !first.is_empty() && !send_message(&reader, BodyMessage::Chunk(first)).await {
         return;
     }
     loop {
-        match timeout(STALL, answer.chunk()).await {
+        match timeout(BODY_STALL_TIMEOUT, response.chunk()).await {
             Ok(Ok(Some(data))) => {
-                if !give(&reader, Piece::Data(data)).await {
+                if !send_message(&reader, BodyMessage::Chunk(data)).await {
                     return;
                 }
             }
             Ok(Ok(None)) => {
-                held.end(AttemptOutcome::Answered(latency));
-                give(&reader, Piece::End).await;
+                held_slot.end(AttemptOutcome::Answered(latency));
+                send_message(&reader, BodyMessage::End).await;
                 return;
             }
             Ok(Err(_)) => {
-                held.end(AttemptOutcome::Lost);
+                held_slot.end(AttemptOutcome::Lost);
                 return;
             }
             // The backend server stalled partway and may still resume, so the work is cancelled.
@@ -78,6 +78,9 @@
     }
 }
 
-async fn give(reader: &mpsc::Sender<Piece>, piece: Piece) -> bool {
-    matches!(timeout(STALL, reader.send(piece)).await, Ok(Ok(())))
+async fn send_message(reader: &mpsc::Sender<BodyMessage>, message: BodyMessage) -> bool {
+    matches!(
+        timeout(BODY_STALL_TIMEOUT, reader.send(message)).await,
+        Ok(Ok(()))
+    )
 }
--- a/crates/node/src/traffic/egress/slice_book.rs
+++ b/crates/node/src/traffic/egress/slice_requests.rs
@@ -13,44 +13,44 @@
 /// Counts the requests in flight for each slice, so that a slice is handed over only when none is
 /// left.
 #[derive(Debug, Default)]
-pub(super) struct SliceBook {
-    uses: Mutex<HashMap<SliceId, Use>>,
+pub(super) struct SliceRequests {
+    states: Mutex<HashMap<SliceId, SliceState>>,
     changed: Notify,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Use {
-    running: usize,
-    drained: Option<Fence>,
+struct SliceState {
+    in_flight: usize,
+    closed_fence: Option<Fence>,
 }
 
 /// Counts one request as in flight until it is dropped.
 #[derive(Debug)]
-pub(super) struct SliceUse {
-    book: Arc<SliceBook>,
+pub(super) struct SliceRequest {
+    requests: Arc<SliceRequests>,
     slice: SliceId,
 }
 
-impl SliceBook {
+impl SliceRequests {
     /// Starts to count a request under a grant; none if the slice is closed for this grant.
-    pub(super) fn enter(self: &Arc<Self>, slice: &SliceId, fence: Fence) -> Option<SliceUse> {
-        let mut uses = self.lock();
-        let entry = uses.entry(slice.clone()).or_default();
-        if entry.drained.is_some_and(|drained| fence <= drained) {
+    pub(super) fn start(self: &Arc<Self>, slice: &SliceId, fence: Fence) -> Option<SliceRequest> {
+        let mut states = self.lock();
+        let entry = states.entry(slice.clone()).or_default();
+        if entry.closed_fence.is_some_and(|closed| fence <= closed) {
             return None;
         }
-        entry.running += 1;
-        Some(SliceUse {
-            book: Arc::clone(self),
+        entry.in_flight += 1;
+        Some(SliceRequest {
+            requests: Arc::clone(self),
             slice: slice.clone(),
         })
     }
 
     /// Closes the slice for requests under this grant and earlier grants.
     pub(super) fn close(&self, slice: &SliceId, fence: Fence) {
-        let mut uses = self.lock();
-        let entry = uses.entry(slice.clone()).or_default();
-        entry.drained = entry.drained.max(Some(fence));
+        let mut states = self.lock();
+        let entry = states.entry(slice.clone()).or_default();
+        entry.closed_fence = entry.closed_fence.max(Some(fence));
     }
 
     /// Resolves once no request of the slice is in flight.
@@ -60,7 +60,7 @@
             if self
                 .lock()
                 .get(slice)
-                .is_none_or(|entry| entry.running == 0)
+                .is_none_or(|entry| entry.in_flight == 0)
             {
                 return;
             }
@@ -68,18 +68,18 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<SliceId, Use>> {
-        self.uses.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, HashMap<SliceId, SliceState>> {
+        self.states.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Drop for SliceUse {
+impl Drop for SliceRequest {
     fn drop(&mut self) {
-        let mut uses = self.book.lock();
-        if let Some(entry) = uses.get_mut(&self.slice) {
-            entry.running = entry.running.saturating_sub(1);
-            if entry.running == 0 {
-                self.book.changed.notify_waiters();
+        let mut states = self.requests.lock();
+        if let Some(entry) = states.get_mut(&self.slice) {
+            entry.in_flight = entry.in_flight.saturating_sub(1);
+            if entry.in_flight == 0 {
+                self.requests.changed.notify_waiters();
             }
         }
     }
--- a/crates/node/src/traffic/egress/slots.rs
+++ b/crates/node/src/traffic/egress/slots.rs
@@ -31,7 +31,7 @@
 #[derive(Default)]
 struct State {
     admission: Admission,
-    next: Ticket,
+    last_ticket: Ticket,
     waiting: HashMap<Ticket, Waiter>,
 }
 
@@ -41,10 +41,10 @@
 pub(super) struct Slot {
     slots: Arc<Slots>,
     ticket: Ticket,
-    open: bool,
+    held: bool,
 }
 
-struct Place {
+struct QueuedRequest {
     slots: Arc<Slots>,
     ticket: Ticket,
 }
@@ -64,18 +64,18 @@
         deadline: Moment,
     ) -> Result<Slot, RefusalCode> {
         let (sender, receiver) = oneshot::channel();
-        let place = {
+        let queued = {
             let mut state = self.lock();
-            state.next = state.next.next();
-            let ticket = state.next;
+            state.last_ticket = state.last_ticket.next();
+            let ticket = state.last_ticket;
             state.waiting.insert(ticket, sender);
-            Place {
+            QueuedRequest {
                 slots: Arc::clone(self),
                 ticket,
             }
         };
-        self.step(AdmissionEvent::Arrived(AdmissionRequest {
-            ticket: place.ticket,
+        self.handle_event(AdmissionEvent::Arrived(AdmissionRequest {
+            ticket: queued.ticket,
             route: route.name.clone(),
             priority: route.priority,
             deadline,
@@ -85,8 +85,8 @@
     }
 
     /// Passes an event to admission control and sends its decisions to the waiting tasks.
-    pub(super) fn step(self: &Arc<Self>, event: AdmissionEvent) {
-        let mut given = Vec::new();
+    pub(super) fn handle_event(self: &Arc<Self>, event: AdmissionEvent) {
+        let mut decisions = Vec::new();
         {
             let mut state = self.lock();
             let actions = state.admission.step(self.clock.now(), event);
@@ -95,11 +95,11 @@
                     AdmissionAction::Admit(ticket) => (ticket, Ok(self.slot(ticket))),
                     AdmissionAction::Refuse(ticket, code) => (ticket, Err(code)),
                 };
-                given.push((state.waiting.remove(&ticket), outcome));
+                decisions.push((state.waiting.remove(&ticket), outcome));
             }
         }
         // Sent outside the lock: a slot whose task has gone is dropped here, which locks again.
-        for (waiter, outcome) in given {
+        for (waiter, outcome) in decisions {
             if let Some(waiter) = waiter {
                 let _ = waiter.send(outcome);
             }
@@ -137,7 +137,7 @@
         Slot {
             slots: Arc::clone(self),
             ticket,
-            open: true,
+            held: true,
         }
     }
 
@@ -148,17 +148,15 @@
 
 impl Slot {
     /// Releases the slot.
-    pub(super) fn end(mut self, end: AttemptOutcome) {
-        self.give_back(end);
+    pub(super) fn end(mut self, outcome: AttemptOutcome) {
+        self.release(outcome);
     }
 
-    fn give_back(&mut self, end: AttemptOutcome) {
-        if std::mem::take(&mut self.open) {
+    fn release(&mut self, outcome: AttemptOutcome) {
+        if std::mem::take(&mut self.held) {
             let ticket = self.ticket;
-            self.slots.step(AdmissionEvent::Ended {
-                ticket,
-                outcome: end,
-            });
+            self.slots
+                .handle_event(AdmissionEvent::Ended { ticket, outcome });
         }
     }
 }
@@ -166,19 +164,20 @@
 impl Drop for Slot {
     /// Releases a slot that was never used, or whose request ended without a usable outcome.
     fn drop(&mut self) {
-        self.give_back(AttemptOutcome::Abandoned);
+        self.release(AttemptOutcome::Abandoned);
     }
 }
 
-impl Drop for Place {
+impl Drop for QueuedRequest {
     fn drop(&mut self) {
         let waited = self.slots.lock().waiting.remove(&self.ticket).is_some();
         if waited {
-            self.slots.step(AdmissionEvent::Cancelled(self.ticket));
+            self.slots
+                .handle_event(AdmissionEvent::Cancelled(self.ticket));
         }
     }
 }
 
-fn microseconds(span: Duration) -> u32 {
-    u32::try_from(span.as_micros()).unwrap_or(u32::MAX)
+fn microseconds(duration: Duration) -> u32 {
+    u32::try_from(duration.as_micros()).unwrap_or(u32::MAX)
 }
--- a/crates/node/src/traffic/hop/read_ahead.rs
+++ b/crates/node/src/traffic/hop/buffered_body.rs
@@ -6,15 +6,15 @@
 use bytes::BytesMut;
 
 /// How long a body may make no progress before it counts as broken.
-pub(in crate::traffic) const STALL: Duration = Duration::from_secs(10);
+pub(in crate::traffic) const BODY_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The part of a response's body that was read.
 #[derive(Debug)]
-pub(in crate::traffic) enum ReadAhead {
+pub(in crate::traffic) enum BufferedBody {
     /// The complete body.
-    Whole(Bytes),
+    Complete(Bytes),
     /// The first part of a body that is longer than the limit.
-    Longer(Bytes),
+    Partial(Bytes),
     /// The body failed or stalled before its end.
     Broken,
 }
@@ -23,25 +23,25 @@
 ///
 /// If a small body fails partway, the caller gets a refusal, after which the request may be
 /// retried, instead of an aborted connection.
-pub(in crate::traffic) async fn read_ahead(
-    answer: &mut reqwest::Response,
+pub(in crate::traffic) async fn buffer_body(
+    response: &mut reqwest::Response,
     limit: usize,
-) -> ReadAhead {
-    if answer
+) -> BufferedBody {
+    if response
         .content_length()
         .is_some_and(|length| length > limit as u64)
     {
-        return ReadAhead::Longer(Bytes::new());
+        return BufferedBody::Partial(Bytes::new());
     }
     let mut read = BytesMut::new();
     loop {
-        match tokio::time::timeout(STALL, answer.chunk()).await {
+        match tokio::time::timeout(BODY_STALL_TIMEOUT, response.chunk()).await {
             Ok(Ok(Some(chunk))) => read.extend_from_slice(&chunk),
-            Ok(Ok(None)) => return ReadAhead::Whole(read.freeze()),
-            Ok(Err(_)) | Err(_) => return ReadAhead::Broken,
+            Ok(Ok(None)) => return BufferedBody::Complete(read.freeze()),
+            Ok(Err(_)) | Err(_) => return BufferedBody::Broken,
         }
         if read.len() > limit {
-            return ReadAhead::Longer(read.freeze());
+            return BufferedBody::Partial(read.freeze());
         }
     }
 }
--- a/crates/node/src/traffic/hop/passed_headers.rs
+++ b/crates/node/src/traffic/hop/forwarded_headers.rs
@@ -7,7 +7,7 @@
 use quetzalrack_wire::headers;
 
 /// Hop-by-hop headers and headers that every hop sets itself, such as `host`.
-const OF_ONE_HOP: &[&str] = &[
+const HOP_BY_HOP: &[&str] = &[
     "connection",
     "expect",
     "host",
@@ -23,7 +23,7 @@
 
 /// Removes the headers that a node does not forward: hop-by-hop headers, those that the connection
 /// header names, and quetzalrack's own, with which a caller could pose as a node.
-pub(in crate::traffic) fn retain_passed(map: &mut HeaderMap) {
+pub(in crate::traffic) fn retain_forwarded(map: &mut HeaderMap) {
     let named: Vec<HeaderName> = map
         .get_all(header::CONNECTION)
         .iter()
@@ -36,7 +36,7 @@
         .filter(|name| name.as_str().starts_with(headers::PREFIX))
         .cloned()
         .collect();
-    for name in OF_ONE_HOP {
+    for name in HOP_BY_HOP {
         map.remove(*name);
     }
     for name in named.iter().chain(&own) {
@@ -45,7 +45,7 @@
 }
 
 /// Sets a header to the text of a value; the text of identifiers and names is always valid.
-pub(in crate::traffic) fn put<T>(map: &mut HeaderMap, name: &'static str, value: T)
+pub(in crate::traffic) fn set_header<T>(map: &mut HeaderMap, name: &'static str, value: T)
 where
     T: ToString,
 {
--- a/crates/node/src/traffic/hop/hop_seal.rs
+++ b/crates/node/src/traffic/hop/hop_authenticator.rs
@@ -9,35 +9,35 @@
 use quetzalrack_core::time::WallTime;
 use quetzalrack_wire::headers;
 
-use super::put;
+use super::set_header;
 use crate::platform::KeyStore;
 
 /// The maximum age of a signature; the wall clocks of nodes differ by less.
-const LIFETIME: Duration = Duration::from_secs(30);
+const MAX_SIGNATURE_AGE: Duration = Duration::from_secs(30);
 
 /// Signs requests to other nodes and verifies theirs.
 ///
 /// Without the signature any caller could pose as a node, set its own deadline and bypass the
-/// choice of the node. The signature covers the method, the target, the request and attempt ids, the
-/// deadline, the slice and the idempotency key, but not the body.
+/// choice of the node. The signature covers the method, the target, the request and attempt ids,
+/// the deadline, the slice and the idempotency key, but not the body.
 #[derive(Clone, Debug)]
-pub(in crate::traffic) struct HopSeal {
+pub(in crate::traffic) struct HopAuthenticator {
     node: NodeName,
     keys: Arc<KeyStore>,
 }
 
 /// The result of verifying a request's signature.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in crate::traffic) enum SealOutcome {
+pub(in crate::traffic) enum HopVerification {
     /// There is no signature: the request comes from a caller.
-    Missing,
+    Unsigned,
     /// The signature is valid: the request comes from another node.
-    Right,
+    Valid,
     /// The signature is malformed, wrong or too old.
-    Wrong,
+    Invalid,
 }
 
-impl HopSeal {
+impl HopAuthenticator {
     pub(in crate::traffic) fn new(node: NodeName, keys: Arc<KeyStore>) -> Self {
         Self { node, keys }
     }
@@ -53,8 +53,8 @@
         let message = message(self.node.as_str(), now.0, method, target, map);
         let signature = self.keys.nodes().sign(&message);
         let code = hex::encode(signature.code);
-        let proof = format!("{};{};{};{code}", self.node, now.0, signature.key);
-        put(map, headers::AUTHENTICATOR, proof);
+        let value = format!("{};{};{};{code}", self.node, now.0, signature.key);
+        set_header(map, headers::AUTHENTICATOR, value);
     }
 
     /// Verifies the signature in the headers of a request.
@@ -64,33 +64,35 @@
         method: &str,
         target: &str,
         map: &HeaderMap,
-    ) -> SealOutcome {
+    ) -> HopVerification {
         let Some(value) = map.get(headers::AUTHENTICATOR) else {
-            return SealOutcome::Missing;
+            return HopVerification::Unsigned;
         };
-        let proof = value.to_str().ok().and_then(|text| {
+        let parsed = value.to_str().ok().and_then(|text| {
             let mut parts = text.split(';');
             let node = parts.next()?;
-            let at = parts.next()?.parse::<u64>().ok()?;
+            let sent_at = parts.next()?.parse::<u64>().ok()?;
             let key = parts.next()?.to_owned();
             let mut code = [0; Signature::BYTES];
             hex::decode_to_slice(parts.next()?, &mut code).ok()?;
-            Some((node, at, Signature { key, code }))
+            Some((node, sent_at, Signature { key, code }))
         });
-        let Some((node, at, signature)) = proof else {
-            return SealOutcome::Wrong;
+        let Some((node, sent_at, signature)) = parsed else {
+            return HopVerification::Invalid;
         };
-        let age = now.since(WallTime(at)).max(WallTime(at).since(now));
-        let message = message(node, at, method, target, map);
-        if age <= LIFETIME && self.keys.nodes().verify(&message, &signature) {
-            return SealOutcome::Right;
+        let age = now
+            .since(WallTime(sent_at))
+            .max(WallTime(sent_at).since(now));
+        let message = message(node, sent_at, method, target, map);
+        if age <= MAX_SIGNATURE_AGE && self.keys.nodes().verify(&message, &signature) {
+            return HopVerification::Valid;
         }
-        SealOutcome::Wrong
+        HopVerification::Invalid
     }
 }
 
-fn message(node: &str, at: u64, method: &str, target: &str, map: &HeaderMap) -> Vec<u8> {
-    let mut message = format!("hop\n{node}\n{at}\n{method}\n{target}").into_bytes();
+fn message(node: &str, sent_at: u64, method: &str, target: &str, map: &HeaderMap) -> Vec<u8> {
+    let mut message = format!("hop\n{node}\n{sent_at}\n{method}\n{target}").into_bytes();
     for name in [
         headers::REQUEST,
         headers::ATTEMPT,
--- a/crates/node/src/traffic/hop/hop_request.rs
+++ b/crates/node/src/traffic/hop/hop_request.rs
@@ -15,9 +15,9 @@
 /// One attempt at a request, for the egress of the node that is to answer it.
 #[derive(Debug)]
 pub(in crate::traffic) struct HopRequest {
-    /// The request's identity.
+    /// The request's id.
     pub(in crate::traffic) request: RequestId,
-    /// The attempt's identity.
+    /// The attempt's id.
     pub(in crate::traffic) attempt: AttemptId,
     /// The route.
     pub(in crate::traffic) matched: MatchedRoute,
@@ -52,11 +52,11 @@
     routing: &RoutingTable,
 ) -> Option<(SliceId, KeyHash)> {
     let slices = routing.services.get(&matched.service.name)?;
-    let named = headers.get(quetzalrack_wire::headers::IDEMPOTENCY);
+    let idempotency_key = headers.get(quetzalrack_wire::headers::IDEMPOTENCY);
     let key = match &matched.key {
         Some(key) => KeyHash::of(key),
         None => KeyHash::of(
-            &named?
+            &idempotency_key?
                 .to_str()
                 .ok()?
                 .trim()
--- a/crates/node/src/traffic/hop/mod.rs
+++ b/crates/node/src/traffic/hop/mod.rs
@@ -1,18 +1,18 @@
 //! Requests between two nodes, and what they share with requests to a backend server.
 
+mod buffered_body;
+mod forwarded_headers;
+mod hop_authenticator;
 mod hop_request;
-mod hop_seal;
-mod passed_headers;
-mod read_ahead;
-mod whole_answer;
+mod response_match;
 
+pub(super) use buffered_body::BODY_STALL_TIMEOUT;
+pub(super) use buffered_body::BufferedBody;
+pub(super) use buffered_body::buffer_body;
+pub(super) use forwarded_headers::retain_forwarded;
+pub(super) use forwarded_headers::set_header;
+pub(super) use hop_authenticator::HopAuthenticator;
+pub(super) use hop_authenticator::HopVerification;
 pub(super) use hop_request::HopRequest;
 pub(super) use hop_request::slice_in;
-pub(super) use hop_seal::HopSeal;
-pub(super) use hop_seal::SealOutcome;
-pub(super) use passed_headers::put;
-pub(super) use passed_headers::retain_passed;
-pub(super) use read_ahead::ReadAhead;
-pub(super) use read_ahead::STALL;
-pub(super) use read_ahead::read_ahead;
-pub(super) use whole_answer::echoes;
+pub(super) use response_match::matches_attempt;
--- /dev/null
+++ b/crates/node/src/traffic/ingress/balanced.rs
@@ -0,0 +1,198 @@
+//! Load-balanced requests, which any backend server of a service may answer.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use quetzalrack_core::cluster::Member;
+use quetzalrack_core::cluster::RoutingNode;
+use quetzalrack_core::cluster::ServerState;
+use quetzalrack_core::document::spec::Method;
+use quetzalrack_core::ids::NodeName;
+use quetzalrack_core::ids::RequestId;
+use quetzalrack_core::time::Moment;
+use quetzalrack_core::traffic::refusal::RefusalCode;
+use quetzalrack_core::traffic::refusal::WorkOutcome;
+use uuid::Uuid;
+
+use super::incoming_request::IncomingRequest;
+use super::remote::AttemptResult;
+use crate::traffic::payload::Payload;
+use crate::traffic::refusal::Refusal;
+use crate::traffic::traffic_core::TrafficCore;
+
+/// The most nodes to which one request is sent, hedges included.
+const MAX_ATTEMPTS: usize = 3;
+
+/// The node chosen for a request, and a straggler that gets a copy so that its latency is measured.
+struct Target {
+    member: Member,
+    probe: Option<Member>,
+}
+
+impl TrafficCore {
+    /// Sends a request to a chosen node, and retries at others as far as the retry budget allows.
+    pub(super) async fn run_balanced(
+        self: &Arc<Self>,
+        incoming: &IncomingRequest,
+        payload: Payload,
+    ) -> AttemptResult {
+        self.wait_for_routing_table(incoming).await?;
+        let mut tried = Vec::new();
+        let mut payload = Some(payload);
+        let mut earlier = None;
+        while let Some(sent) = payload.take() {
+            let Some(target) = self.choose_target(incoming, &tried) else {
+                break;
+            };
+            tried.push(target.member.node.clone());
+            payload = sent.try_clone();
+            if let (Some(straggler), Some(copy)) = (target.probe, sent.try_clone()) {
+                self.send_probe(incoming, straggler, copy);
+            }
+            let refusal = match self
+                .attempt_hedged(incoming, target.member, sent, &mut tried)
+                .await
+            {
+                Ok(response) => return Ok(response),
+                Err(refusal) => refusal,
+            };
+            let retry = may_retry(&refusal) && tried.len() < MAX_ATTEMPTS && payload.is_some();
+            earlier = Some(refusal.merge_earlier(earlier));
+            let service = &incoming.matched.service.name;
+            if !retry || !self.ingress.retries.withdraw(service) {
+                break;
+            }
+        }
+        Err(earlier.unwrap_or_else(|| RefusalCode::NoServer.into()))
+    }
+
+    /// Sends a straggler a copy of a request, so that its latency is measured. Nobody waits for the
+    /// response; the copy is charged to the retry budget like every second attempt.
+    fn send_probe(
+        self: &Arc<Self>,
+        incoming: &IncomingRequest,
+        straggler: Member,
+        payload: Payload,
+    ) {
+        let service = &incoming.matched.service.name;
+        if incoming.matched.route.method != Method::Get || !self.ingress.retries.withdraw(service) {
+            return;
+        }
+        let core = Arc::clone(self);
+        let mut hop = incoming.attempt(payload, None);
+        // The copy has its own request id: its outcome must not affect what the caller is told
+        // about the original request.
+        hop.request = RequestId(Uuid::new_v4());
+        tokio::spawn(async move {
+            let _ = core.send_to(&straggler, hop).await;
+        });
+    }
+
+    /// Makes one attempt and, if it is slow, a concurrent second one. The attempt that is not
+    /// needed is dropped, which cancels its work.
+    async fn attempt_hedged(
+        self: &Arc<Self>,
+        incoming: &IncomingRequest,
+        target: Member,
+        payload: Payload,
+        tried: &mut Vec<NodeName>,
+    ) -> AttemptResult {
+        let started = self.clock.now();
+        let delay = self.hedge_delay(incoming, &payload);
+        let copy = payload.try_clone();
+        let mut first = std::pin::pin!(self.send_to(&target, incoming.attempt(payload, None)));
+        let (Some(delay), Some(copy)) = (delay, copy) else {
+            let result = first.await;
+            self.record_latency(incoming, started, &result);
+            return result;
+        };
+        tokio::select! {
+            result = &mut first => {
+                self.record_latency(incoming, started, &result);
+                return result;
+            }
+            () = tokio::time::sleep(delay) => {}
+        }
+        let service = &incoming.matched.service.name;
+        let second = self
+            .choose_target(incoming, tried)
+            .filter(|_| self.ingress.retries.withdraw(service));
+        let Some(Target { member: second, .. }) = second else {
+            let result = first.await;
+            self.record_latency(incoming, started, &result);
+            return result;
+        };
+        tried.push(second.node.clone());
+        let mut hedge = std::pin::pin!(self.send_to(&second, incoming.attempt(copy, None)));
+        let result = tokio::select! {
+            result = &mut first => match result {
+                Ok(response) => Ok(response),
+                Err(refusal) => hedge.await.map_err(|last| last.merge_earlier(Some(refusal))),
+            },
+            result = &mut hedge => match result {
+                Ok(response) => {
+                    self.ingress.balancer().record_abandoned(&target.node);
+                    Ok(response)
+                }
+                Err(refusal) => first.await.map_err(|last| last.merge_earlier(Some(refusal))),
+            },
+        };
+        self.record_latency(incoming, started, &result);
+        result
+    }
+
+    fn hedge_delay(&self, incoming: &IncomingRequest, payload: &Payload) -> Option<Duration> {
+        if !self.config.hedging || !matches!(payload, Payload::Buffered(_)) {
+            return None;
+        }
+        self.ingress.retries.hedge_delay(&incoming.matched)
+    }
+
+    fn record_latency(&self, incoming: &IncomingRequest, started: Moment, result: &AttemptResult) {
+        if result.is_ok() {
+            let now = self.clock.now();
+            let latency = now.since(started);
+            self.ingress.retries.record(&incoming.matched, now, latency);
+        }
+    }
+
+    fn choose_target(&self, incoming: &IncomingRequest, tried: &[NodeName]) -> Option<Target> {
+        let routing = self.view.routing.load();
+        let nodes: Vec<&RoutingNode> = routing
+            .nodes
+            .values()
+            .filter(|node| self.is_available(incoming, node) && !tried.contains(&node.member.node))
+            .collect();
+        let now = self.clock.now();
+        let chosen = self.ingress.balancer().choose(now, &nodes)?;
+        let member = |name: &NodeName| Some(routing.nodes.get(name)?.member.clone());
+        Some(Target {
+            member: member(&chosen.node)?,
+            probe: chosen.probe.as_ref().and_then(member),
+        })
+    }
+
+    fn is_available(&self, incoming: &IncomingRequest, node: &RoutingNode) -> bool {
+        let member = &node.member;
+        let Some(server) = &member.server else {
+            return false;
+        };
+        let intent = self.view.intent.load();
+        let intent_allows = intent
+            .as_ref()
+            .is_none_or(|intent| intent.takes_work(&member.zone, server));
+        member.service.as_ref() == Some(&incoming.matched.service.name)
+            && node.in_service
+            && node.state != ServerState::Draining
+            && intent_allows
+    }
+}
+
+/// Tells whether to retry: the work did not run, or it may run twice and its response was lost.
+fn may_retry(refusal: &Refusal) -> bool {
+    match refusal.code {
+        RefusalCode::DeadlineNotRun => false,
+        RefusalCode::AnswerLost => true,
+        code => code.outcome() == WorkOutcome::NotRun && code.is_transient(),
+    }
+}
--- a/crates/node/src/traffic/ingress/caller_answer.rs
+++ b/crates/node/src/traffic/ingress/caller_response.rs
@@ -15,14 +15,14 @@
 use quetzalrack_core::traffic::routes::MatchedRoute;
 use quetzalrack_wire::headers;
 
-use super::call::Call;
-use super::remote::Answer;
-use crate::traffic::hop::put;
+use super::incoming_request::IncomingRequest;
+use super::remote::AttemptResult;
+use crate::traffic::hop::set_header;
 use crate::traffic::refusal::Refusal;
 use crate::traffic::traffic_core::TrafficCore;
 
 /// Headers for nodes, which are removed from responses to callers.
-const BETWEEN_NODES: &[&str] = &[
+const NODE_ONLY_HEADERS: &[&str] = &[
     headers::ATTEMPT,
     headers::LOAD,
     headers::OWNER,
@@ -31,9 +31,13 @@
 
 impl TrafficCore {
     /// Builds the response to the caller and counts the request's outcome.
-    pub(super) fn answer_caller(self: &Arc<Self>, call: &Call, answer: Answer) -> Response<Body> {
-        let latency = self.clock.now().since(call.arrived);
-        match answer {
+    pub(super) fn respond(
+        self: &Arc<Self>,
+        incoming: &IncomingRequest,
+        result: AttemptResult,
+    ) -> Response<Body> {
+        let latency = self.clock.now().since(incoming.arrived);
+        match result {
             Err(refusal) => {
                 let outcome = match refusal.code.outcome() {
                     WorkOutcome::NotRun => RequestOutcome::Refused,
@@ -41,37 +45,37 @@
                     WorkOutcome::Failed => RequestOutcome::Failed,
                 };
                 if !refusal.code.is_client_error() {
-                    self.counters.record(&call.matched, outcome, latency);
+                    self.counters.record(&incoming.matched, outcome, latency);
                 }
                 log::info!(
                     event = "request_refused",
-                    request:% = call.request,
-                    route:% = call.matched.route.name,
+                    request:% = incoming.request,
+                    route:% = incoming.matched.route.name,
                     code:% = refusal.code,
                     waited_ms = latency.as_millis() as u64;
                     "request refused"
                 );
-                self.explain_refusal(call, &refusal, latency);
-                self.refuse_caller(call.request, refusal)
+                self.record_refusal(incoming, &refusal, latency);
+                self.refusal_response(incoming.request, refusal)
             }
             Ok(mut response) => {
-                for name in BETWEEN_NODES {
+                for name in NODE_ONLY_HEADERS {
                     response.headers_mut().remove(*name);
                 }
-                put(response.headers_mut(), headers::REQUEST, call.request);
-                self.count_when_whole(call, latency, response)
+                set_header(response.headers_mut(), headers::REQUEST, incoming.request);
+                self.count_when_complete(incoming, latency, response)
             }
         }
     }
 
-    /// Records why a request was refused, so that an operator can look it up by its request id.
-    fn explain_refusal(&self, call: &Call, refusal: &Refusal, waited: Duration) {
+    /// Records why a request was refused, so that the refusal can be explained later.
+    fn record_refusal(&self, incoming: &IncomingRequest, refusal: &Refusal, waited: Duration) {
         self.view.refusals.record(Explanation {
             at: self.clock.wall(),
             happening: Happening::RequestRefused {
-                request: call.request,
-                service: call.matched.service.name.clone(),
-                route: call.matched.route.name.clone(),
+                request: incoming.request,
+                service: incoming.matched.service.name.clone(),
+                route: incoming.matched.route.name.clone(),
                 code: refusal.code,
                 outcome: refusal.code.outcome(),
                 waited_ms: waited.as_millis() as u64,
@@ -79,45 +83,45 @@
         });
     }
 
-    pub(super) fn refuse_caller(&self, request: RequestId, refusal: Refusal) -> Response<Body> {
+    pub(super) fn refusal_response(&self, request: RequestId, refusal: Refusal) -> Response<Body> {
         let mut response = refusal.into_response();
-        for name in BETWEEN_NODES {
+        for name in NODE_ONLY_HEADERS {
             response.headers_mut().remove(*name);
         }
-        put(response.headers_mut(), headers::REQUEST, request);
+        set_header(response.headers_mut(), headers::REQUEST, request);
         response
     }
 
     /// Counts a response as served only once its whole body has been sent.
-    fn count_when_whole(
+    fn count_when_complete(
         self: &Arc<Self>,
-        call: &Call,
+        incoming: &IncomingRequest,
         latency: Duration,
         response: Response<Body>,
     ) -> Response<Body> {
-        let matched = call.matched.clone();
+        let matched = incoming.matched.clone();
         if response.body().size_hint().exact().is_some() {
-            self.count_answer(&matched, latency);
+            self.count_response(&matched, latency);
             return response;
         }
         let core = Arc::clone(self);
         let (parts, body) = response.into_parts();
-        let pieces = body.into_data_stream().map(Some);
+        let chunks = body.into_data_stream().map(Some);
         let ended = futures::stream::once(std::future::ready(None));
-        let counted = pieces.chain(ended).filter_map(move |piece| {
-            match &piece {
-                None => core.count_answer(&matched, latency),
+        let counted = chunks.chain(ended).filter_map(move |chunk| {
+            match &chunk {
+                None => core.count_response(&matched, latency),
                 Some(Err(_)) => core
                     .counters
                     .record(&matched, RequestOutcome::Unknown, latency),
                 Some(Ok(_)) => {}
             }
-            std::future::ready(piece)
+            std::future::ready(chunk)
         });
         Response::from_parts(parts, Body::from_stream(counted))
     }
 
-    fn count_answer(&self, matched: &MatchedRoute, latency: Duration) {
+    fn count_response(&self, matched: &MatchedRoute, latency: Duration) {
         let objective = matched.route.objective.latency_ms.as_duration();
         let outcome = match latency <= objective {
             true => RequestOutcome::Served,
--- a/crates/node/src/traffic/ingress/call.rs
+++ b/crates/node/src/traffic/ingress/incoming_request.rs
@@ -13,7 +13,7 @@
 
 /// A caller's request, from which attempts are made.
 #[derive(Debug)]
-pub(super) struct Call {
+pub(super) struct IncomingRequest {
     pub(super) request: RequestId,
     pub(super) matched: MatchedRoute,
     pub(super) target: String,
@@ -22,7 +22,7 @@
     pub(super) arrived: Moment,
 }
 
-impl Call {
+impl IncomingRequest {
     /// Creates an attempt at the request.
     pub(super) fn attempt(&self, payload: Payload, slice: Option<SliceId>) -> HopRequest {
         HopRequest {
--- a/crates/node/src/traffic/ingress/ingress_node.rs
+++ b/crates/node/src/traffic/ingress/ingress_node.rs
@@ -19,23 +19,23 @@
 use crate::traffic::config::TrafficConfig;
 
 /// How long opening a connection to another node may take.
-const CONNECT: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// The interval of TCP keepalive probes on a silent connection.
-const KEEPALIVE: Duration = Duration::from_secs(5);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
 /// The most idle connections kept to each other node.
-const IDLE: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 /// The most requests that wait for an owner at once. Further ones are refused, so that waiting
 /// requests for a slice without an owner do not exhaust the node.
-const WAITERS: usize = 512;
+const MAX_OWNER_WAITERS: usize = 512;
 
 /// Holds the connections to other nodes, the load balancer and the budgets of second attempts.
 pub(in crate::traffic) struct Ingress {
     pub(super) client: Client,
     pub(super) routes: RouteCache,
-    pub(super) seconds: SecondAttempts,
-    pub(super) waiters: Semaphore,
+    pub(super) retries: SecondAttempts,
+    pub(super) owner_waiters: Semaphore,
     clock: Arc<dyn Clock>,
-    chooser: Mutex<LoadBalancer>,
+    balancer: Mutex<LoadBalancer>,
 }
 
 /// Counts a request as outstanding at a node until it is dropped.
@@ -53,29 +53,29 @@
             .no_proxy()
             .redirect(Policy::none())
             .retry(reqwest::retry::never())
-            .connect_timeout(CONNECT)
-            .tcp_keepalive(KEEPALIVE)
+            .connect_timeout(CONNECT_TIMEOUT)
+            .tcp_keepalive(KEEPALIVE_INTERVAL)
             .tcp_nodelay(true)
-            .pool_max_idle_per_host(IDLE)
+            .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
             .http1_only()
             .build()?;
-        let chooser = LoadBalancer::new(config.zone.clone(), config.choice, config.seed);
+        let balancer = LoadBalancer::new(config.zone.clone(), config.choice, config.seed);
         Ok(Self {
             client,
             routes: RouteCache::default(),
-            seconds: SecondAttempts::default(),
-            waiters: Semaphore::new(WAITERS),
+            retries: SecondAttempts::default(),
+            owner_waiters: Semaphore::new(MAX_OWNER_WAITERS),
             clock,
-            chooser: Mutex::new(chooser),
+            balancer: Mutex::new(balancer),
         })
     }
 
-    pub(super) fn chooser(&self) -> MutexGuard<'_, LoadBalancer> {
-        self.chooser.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(super) fn balancer(&self) -> MutexGuard<'_, LoadBalancer> {
+        self.balancer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(super) fn outstanding<'a>(&'a self, node: &'a NodeName) -> Outstanding<'a> {
-        self.chooser().record_sent(node);
+        self.balancer().record_sent(node);
         Outstanding {
             ingress: self,
             node,
@@ -89,6 +89,6 @@
 
 impl Drop for Outstanding<'_> {
     fn drop(&mut self) {
-        self.ingress.chooser().record_ended(self.node);
+        self.ingress.balancer().record_ended(self.node);
     }
 }
--- a/crates/node/src/traffic/ingress/mod.rs
+++ b/crates/node/src/traffic/ingress/mod.rs
@@ -1,12 +1,12 @@
 //! Ingress: receives callers' requests and sends them to the node that answers.
 
-mod anywhere;
-mod call;
-mod caller_answer;
+mod balanced;
+mod caller_response;
+mod incoming_request;
 mod ingress_node;
-mod intake;
 mod owned;
 mod remote;
+mod request_handler;
 mod route_cache;
 mod second_attempts;
 
--- a/crates/node/src/traffic/ingress/remote.rs
+++ b/crates/node/src/traffic/ingress/remote.rs
@@ -17,40 +17,44 @@
 use reqwest::Url;
 
 use crate::traffic::egress::http_method;
+use crate::traffic::hop::BODY_STALL_TIMEOUT;
+use crate::traffic::hop::BufferedBody;
 use crate::traffic::hop::HopRequest;
-use crate::traffic::hop::ReadAhead;
-use crate::traffic::hop::STALL;
-use crate::traffic::hop::echoes;
-use crate::traffic::hop::put;
-use crate::traffic::hop::read_ahead;
-use crate::traffic::payload::BUFFERED;
+use crate::traffic::hop::buffer_body;
+use crate::traffic::hop::matches_attempt;
+use crate::traffic::hop::set_header;
+use crate::traffic::payload::MAX_BUFFERED_BYTES;
 use crate::traffic::refusal::Refusal;
 use crate::traffic::traffic_core::TrafficCore;
 
 /// How long ingress waits past the deadline for the other node's refusal, which tells whether the
 /// work ran.
-const GRACE: Duration = Duration::from_millis(50);
+const REFUSAL_GRACE: Duration = Duration::from_millis(50);
 
-pub(super) type Answer = Result<Response<Body>, Refusal>;
+pub(super) type AttemptResult = Result<Response<Body>, Refusal>;
 
 impl TrafficCore {
     /// Sends an attempt to a node and returns its response or refusal.
-    pub(super) async fn send_to(self: &Arc<Self>, member: &Member, hop: HopRequest) -> Answer {
+    pub(super) async fn send_to(
+        self: &Arc<Self>,
+        member: &Member,
+        hop: HopRequest,
+    ) -> AttemptResult {
         let _outstanding = self.ingress.outstanding(&member.node);
         if member.node == self.config.node {
-            let answer = self.egress.serve(hop).await;
+            let result = self.egress.serve(hop).await;
             let load = self.egress.load();
             let now = self.clock.now();
-            self.ingress.chooser().record_load(now, &member.node, load);
-            return answer;
+            self.ingress.balancer().record_load(now, &member.node, load);
+            return result;
         }
         self.send_remote(member, hop).await
     }
 
-    async fn send_remote(&self, member: &Member, hop: HopRequest) -> Answer {
+    async fn send_remote(&self, member: &Member, hop: HopRequest) -> AttemptResult {
         let attempt = hop.attempt;
-        let deadline = hop.deadline + GRACE;
-        let exceeded = hop.payload.exceeded();
+        let deadline = hop.deadline + REFUSAL_GRACE;
+        let body_exceeded = hop.payload.exceeded();
         let request = self.remote_request(member, hop)?;
         let executed = tokio::select! {
             executed = self.ingress.client.execute(request) => executed,
@@ -58,33 +62,33 @@
                 return Err(RefusalCode::DeadlineUnknown.into());
             }
         };
-        let mut answer = executed.map_err(|error| {
+        let mut received = executed.map_err(|error| {
             Refusal::from(match error.is_connect() {
-                _ if exceeded.load(Ordering::Acquire) => RefusalCode::BodyOverrun,
+                _ if body_exceeded.load(Ordering::Acquire) => RefusalCode::BodyOverrun,
                 true => RefusalCode::ServerUnreachable,
                 false => RefusalCode::AnswerLost,
             })
         })?;
-        if !echoes(answer.headers(), attempt) {
+        if !matches_attempt(received.headers(), attempt) {
             log::warn!(event = "answer_crossed", node:% = member.node, attempt:% = attempt; "dropped a response to another attempt");
             return Err(RefusalCode::AnswerLost.into());
         }
-        self.learn_load(member, answer.headers());
-        if let Some(refusal) = Refusal::read(answer.headers()) {
+        self.record_load(member, received.headers());
+        if let Some(refusal) = Refusal::from_headers(received.headers()) {
             // The body is read to its end, so that the connection can be reused.
-            let _ = read_ahead(&mut answer, BUFFERED as usize).await;
+            let _ = buffer_body(&mut received, MAX_BUFFERED_BYTES as usize).await;
             return Err(refusal);
         }
-        let status = answer.status();
-        let map = answer.headers().clone();
-        let body = match read_ahead(&mut answer, BUFFERED as usize).await {
-            ReadAhead::Whole(body) => Body::from(body),
-            ReadAhead::Longer(first) => passing_body(first, answer),
-            ReadAhead::Broken => return Err(RefusalCode::AnswerLost.into()),
+        let status = received.status();
+        let map = received.headers().clone();
+        let body = match buffer_body(&mut received, MAX_BUFFERED_BYTES as usize).await {
+            BufferedBody::Complete(body) => Body::from(body),
+            BufferedBody::Partial(first) => stream_body(first, received),
+            BufferedBody::Broken => return Err(RefusalCode::AnswerLost.into()),
         };
         let mut response = Response::new(body);
         *response.status_mut() = status;
-        *response.headers_mut() = without_hop(map);
+        *response.headers_mut() = strip_hop_headers(map);
         Ok(response)
     }
 
@@ -101,34 +105,35 @@
             return Err(RefusalCode::DeadlineNotRun.into());
         }
         let mut map = hop.headers;
-        put(&mut map, headers::REQUEST, hop.request);
-        put(&mut map, headers::ATTEMPT, hop.attempt);
-        put(&mut map, headers::DEADLINE, left.as_millis());
+        set_header(&mut map, headers::REQUEST, hop.request);
+        set_header(&mut map, headers::ATTEMPT, hop.attempt);
+        set_header(&mut map, headers::DEADLINE, left.as_millis());
         if let Some(slice) = &hop.slice {
-            put(&mut map, headers::SLICE, slice);
+            set_header(&mut map, headers::SLICE, slice);
         }
         let wall = self.clock.wall();
-        self.seal.sign(wall, method.as_str(), &hop.target, &mut map);
+        self.authenticator
+            .sign(wall, method.as_str(), &hop.target, &mut map);
         let mut request = reqwest::Request::new(method, url);
         *request.headers_mut() = map;
-        *request.body_mut() = hop.payload.into_outgoing();
+        *request.body_mut() = hop.payload.into_reqwest();
         Ok(request)
     }
 
-    fn learn_load(&self, member: &Member, map: &HeaderMap) {
+    fn record_load(&self, member: &Member, map: &HeaderMap) {
         let text = map.get(headers::LOAD).and_then(|value| value.to_str().ok());
         if let Some(load) = text.and_then(|text| text.parse::<NodeLoad>().ok()) {
             let now = self.clock.now();
-            self.ingress.chooser().record_load(now, &member.node, load);
+            self.ingress.balancer().record_load(now, &member.node, load);
         }
     }
 }
 
 /// Removes the headers that are not forwarded, except those that name the response's origin.
-fn without_hop(mut map: HeaderMap) -> HeaderMap {
+fn strip_hop_headers(mut map: HeaderMap) -> HeaderMap {
     let kept = [headers::SERVER, headers::SLICE, headers::FENCE]
         .map(|name| (name, map.get(name).cloned()));
-    crate::traffic::hop::retain_passed(&mut map);
+    crate::traffic::hop::retain_forwarded(&mut map);
     for (name, value) in kept {
         if let Some(value) = value {
             map.insert(name, value);
@@ -138,15 +143,18 @@
 }
 
 /// Forwards a response's body as it arrives; if it fails, the caller's connection is aborted.
-fn passing_body(first: Bytes, answer: reqwest::Response) -> Body {
-    let start = (Some(first).filter(|bytes| !bytes.is_empty()), Some(answer));
-    Body::from_stream(stream::unfold(start, |(first, answer)| async move {
+fn stream_body(first: Bytes, response: reqwest::Response) -> Body {
+    let start = (
+        Some(first).filter(|bytes| !bytes.is_empty()),
+        Some(response),
+    );
+    Body::from_stream(stream::unfold(start, |(first, response)| async move {
         if let Some(first) = first {
-            return Some((Ok(first), (None, answer)));
+            return Some((Ok(first), (None, response)));
         }
-        let mut answer = answer?;
-        match tokio::time::timeout(STALL, answer.chunk()).await {
-            Ok(Ok(piece)) => piece.map(|piece| (Ok(piece), (None, Some(answer)))),
+        let mut response = response?;
+        match tokio::time::timeout(BODY_STALL_TIMEOUT, response.chunk()).await {
+            Ok(Ok(chunk)) => chunk.map(|chunk| (Ok(chunk), (None, Some(response)))),
             Ok(Err(error)) => Some((Err(io::Error::other(error)), (None, None))),
             Err(_) => Some((Err(io::ErrorKind::TimedOut.into()), (None, None))),
         }
--- a/crates/node/src/traffic/ingress/intake.rs
+++ b/crates/node/src/traffic/ingress/request_handler.rs
@@ -18,43 +18,46 @@
 use reqwest::Url;
 use uuid::Uuid;
 
-use super::call::Call;
+use super::incoming_request::IncomingRequest;
 use crate::traffic::hop::HopRequest;
-use crate::traffic::hop::SealOutcome;
-use crate::traffic::hop::put;
-use crate::traffic::hop::retain_passed;
-use crate::traffic::payload::BUFFERED;
+use crate::traffic::hop::HopVerification;
+use crate::traffic::hop::retain_forwarded;
+use crate::traffic::hop::set_header;
+use crate::traffic::payload::MAX_BUFFERED_BYTES;
 use crate::traffic::payload::Payload;
 use crate::traffic::payload::StreamedBody;
 use crate::traffic::refusal::Refusal;
 use crate::traffic::traffic_core::TrafficCore;
 
 /// The largest total size of a request's headers, in bytes.
-const HEADERS: usize = 32 * 1024;
+const MAX_HEADER_BYTES: usize = 32 * 1024;
 /// The largest body of a non-repeatable request, even if its route allows more: it is buffered
 /// completely to compute its digest.
-const GATE_BODY: u64 = 8 * 1024 * 1024;
+const MAX_NON_REPEATABLE_BYTES: u64 = 8 * 1024 * 1024;
 
 impl TrafficCore {
     /// Answers a request that arrived on the traffic port.
-    pub(in crate::traffic) async fn take_in(
+    pub(in crate::traffic) async fn handle_request(
         self: Arc<Self>,
         request: Request<Body>,
     ) -> Response<Body> {
         let (parts, body) = request.into_parts();
-        let Some(target) = normal_target(&parts) else {
+        let Some(target) = normalize_target(&parts) else {
             return Refusal::from(RefusalCode::BadPath).into_response();
         };
         let wall = self.clock.wall();
         let method = parts.method.as_str();
-        match self.seal.verify(wall, method, &target, &parts.headers) {
-            SealOutcome::Missing => self.take_call(parts, target, body).await,
-            SealOutcome::Right => self.take_hop(parts, target, body).await,
-            SealOutcome::Wrong => Refusal::from(RefusalCode::NotAuthentic).into_response(),
+        match self
+            .authenticator
+            .verify(wall, method, &target, &parts.headers)
+        {
+            HopVerification::Unsigned => self.handle_caller_request(parts, target, body).await,
+            HopVerification::Valid => self.handle_node_request(parts, target, body).await,
+            HopVerification::Invalid => Refusal::from(RefusalCode::NotAuthentic).into_response(),
         }
     }
 
-    async fn take_call(
+    async fn handle_caller_request(
         self: &Arc<Self>,
         parts: Parts,
         target: String,
@@ -64,11 +67,11 @@
         let request = RequestId(Uuid::new_v4());
         let matched = match self.match_route(&parts, &target) {
             Ok(matched) => matched,
-            Err(refusal) => return self.refuse_caller(request, refusal),
+            Err(refusal) => return self.refusal_response(request, refusal),
         };
         let mut map = parts.headers;
-        retain_passed(&mut map);
-        let call = Call {
+        retain_forwarded(&mut map);
+        let incoming = IncomingRequest {
             request,
             deadline: arrived + matched.route.deadline_ms.as_duration(),
             matched,
@@ -76,16 +79,21 @@
             headers: map,
             arrived,
         };
-        let answer = match self.read_body(&call.matched, &call.headers, body).await {
+        let result = match self
+            .read_body(&incoming.matched, &incoming.headers, body)
+            .await
+        {
             Err(refusal) => Err(refusal),
-            Ok(payload) if call.matched.needs_owner() => self.run_owned(&call, payload).await,
-            Ok(payload) => self.run_anywhere(&call, payload).await,
+            Ok(payload) if incoming.matched.needs_owner() => {
+                self.run_owned(&incoming, payload).await
+            }
+            Ok(payload) => self.run_balanced(&incoming, payload).await,
         };
-        self.answer_caller(&call, answer)
+        self.respond(&incoming, result)
     }
 
     /// Answers a request that another node has forwarded.
-    async fn take_hop(
+    async fn handle_node_request(
         self: &Arc<Self>,
         parts: Parts,
         target: String,
@@ -99,11 +107,11 @@
         };
         let deadline = self.clock.now() + Milliseconds(left).as_duration();
         let slice = header_value(&parts.headers, headers::SLICE);
-        let answer = match self.match_route(&parts, &target) {
+        let result = match self.match_route(&parts, &target) {
             Err(refusal) => Err(refusal),
             Ok(matched) => {
                 let mut map = parts.headers;
-                retain_passed(&mut map);
+                retain_forwarded(&mut map);
                 match self.read_body(&matched, &map, body).await {
                     Err(refusal) => Err(refusal),
                     Ok(payload) => {
@@ -122,10 +130,10 @@
                 }
             }
         };
-        let mut response = answer.unwrap_or_else(Refusal::into_response);
+        let mut response = result.unwrap_or_else(Refusal::into_response);
         let map = response.headers_mut();
-        put(map, headers::ATTEMPT, attempt);
-        put(map, headers::LOAD, self.egress.load());
+        set_header(map, headers::ATTEMPT, attempt);
+        set_header(map, headers::LOAD, self.egress.load());
         response
     }
 
@@ -135,7 +143,7 @@
             .iter()
             .map(|(name, value)| name.as_str().len() + value.len())
             .sum();
-        if size > HEADERS {
+        if size > MAX_HEADER_BYTES {
             return Err(RefusalCode::HeadersTooLarge.into());
         }
         let Some(intent) = self.view.intent.load_full() else {
@@ -162,21 +170,21 @@
         let length = header_value::<u64>(map, header::CONTENT_LENGTH.as_str());
         let mut limit = matched.route.body_bytes.0;
         if !matched.route.repeatable {
-            limit = limit.min(GATE_BODY);
+            limit = limit.min(MAX_NON_REPEATABLE_BYTES);
         }
         if length.is_some_and(|length| length > limit) {
             return Err(RefusalCode::BodyTooLarge.into());
         }
-        let whole = length.is_some_and(|length| length <= BUFFERED)
+        let buffered = length.is_some_and(|length| length <= MAX_BUFFERED_BYTES)
             || !matched.route.repeatable
             || matched.route.method == Method::Get;
-        if !whole {
+        if !buffered {
             return Ok(Payload::Streamed(StreamedBody::new(body, limit)));
         }
         let read = axum::body::to_bytes(body, limit as usize);
         let deadline = matched.route.deadline_ms.as_duration();
         match tokio::time::timeout(deadline, read).await {
-            Ok(Ok(bytes)) => Ok(Payload::Whole(bytes)),
+            Ok(Ok(bytes)) => Ok(Payload::Buffered(bytes)),
             // Nothing was sent yet, so nothing ran.
             Ok(Err(_)) if length.is_none() => Err(RefusalCode::BodyTooLarge.into()),
             Ok(Err(_)) => Err(RefusalCode::BodyBroken.into()),
@@ -187,7 +195,7 @@
 
 /// Normalizes path and query. Dot segments are resolved and special characters are escaped before
 /// the route is matched, so that every hop sees the path that was matched.
-fn normal_target(parts: &Parts) -> Option<String> {
+fn normalize_target(parts: &Parts) -> Option<String> {
     let given = parts.uri.path_and_query()?.as_str();
     let url = Url::parse("http://node").ok()?.join(given).ok()?;
     if url.host_str() != Some("node") {
--- a/crates/node/src/traffic/ingress/route_cache.rs
+++ b/crates/node/src/traffic/ingress/route_cache.rs
@@ -10,11 +10,11 @@
 /// Holds the route table of the document in force, and rebuilds it when the document changes.
 #[derive(Debug, Default)]
 pub(super) struct RouteCache {
-    built: ArcSwapOption<Built>,
+    cached: ArcSwapOption<CachedTable>,
 }
 
 #[derive(Debug)]
-struct Built {
+struct CachedTable {
     digest: DocumentDigest,
     table: Arc<RouteTable>,
 }
@@ -22,13 +22,13 @@
 impl RouteCache {
     /// Returns the route table of the intent in force.
     pub(super) fn table(&self, intent: &InForce) -> Arc<RouteTable> {
-        if let Some(built) = self.built.load().as_ref()
-            && built.digest == intent.digest
+        if let Some(cached) = self.cached.load().as_ref()
+            && cached.digest == intent.digest
         {
-            return Arc::clone(&built.table);
+            return Arc::clone(&cached.table);
         }
         let table = Arc::new(RouteTable::new(&intent.document));
-        self.built.store(Some(Arc::new(Built {
+        self.cached.store(Some(Arc::new(CachedTable {
             digest: intent.digest,
             table: Arc::clone(&table),
         })));
--- a/crates/node/src/traffic/ingress/second_attempts.rs
+++ b/crates/node/src/traffic/ingress/second_attempts.rs
@@ -34,7 +34,7 @@
     }
 
     /// Records the latency of an answered request and adds to the service's budget.
-    pub(super) fn answered(&self, matched: &MatchedRoute, now: Moment, latency: Duration) {
+    pub(super) fn record(&self, matched: &MatchedRoute, now: Moment, latency: Duration) {
         let mut services = self.lock();
         let state = services.entry(matched.service.name.clone()).or_default();
         state.budget.deposit();
@@ -43,7 +43,7 @@
     }
 
     /// Returns how long an attempt may take before a hedge is sent.
-    pub(super) fn hedge_wait(&self, matched: &MatchedRoute) -> Option<Duration> {
+    pub(super) fn hedge_delay(&self, matched: &MatchedRoute) -> Option<Duration> {
         let services = self.lock();
         let state = services.get(&matched.service.name)?;
         state.hedges.get(&matched.route.name)?.delay()
--- a/crates/node/src/traffic/payload.rs
+++ b/crates/node/src/traffic/payload.rs
@@ -9,13 +9,13 @@
 use futures::StreamExt;
 
 /// The largest body that is buffered before anything is sent, so that it can be sent again.
-pub(super) const BUFFERED: u64 = 64 * 1024;
+pub(super) const MAX_BUFFERED_BYTES: u64 = 64 * 1024;
 
 /// The body of a request.
 #[derive(Debug)]
 pub(super) enum Payload {
     /// Read completely; may be sent more than once.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// Forwarded as it arrives; can be sent only once.
     Streamed(StreamedBody),
 }
@@ -46,9 +46,9 @@
 
 impl Payload {
     /// Returns a copy if the body can be sent again.
-    pub(super) fn again(&self) -> Option<Self> {
+    pub(super) fn try_clone(&self) -> Option<Self> {
         match self {
-            Self::Whole(bytes) => Some(Self::Whole(bytes.clone())),
+            Self::Buffered(bytes) => Some(Self::Buffered(bytes.clone())),
             Self::Streamed(_) => None,
         }
     }
@@ -56,16 +56,16 @@
     /// Returns a flag that is set if the body exceeds its route's limit while it is sent.
     pub(super) fn exceeded(&self) -> Arc<AtomicBool> {
         match self {
-            Self::Whole(_) => Arc::default(),
+            Self::Buffered(_) => Arc::default(),
             Self::Streamed(streamed) => Arc::clone(&streamed.exceeded),
         }
     }
 
     /// Converts the body into that of an outgoing request; none if it is empty.
-    pub(super) fn into_outgoing(self) -> Option<reqwest::Body> {
+    pub(super) fn into_reqwest(self) -> Option<reqwest::Body> {
         let streamed = match self {
-            Self::Whole(bytes) if bytes.is_empty() => return None,
-            Self::Whole(bytes) => return Some(reqwest::Body::from(bytes)),
+            Self::Buffered(bytes) if bytes.is_empty() => return None,
+            Self::Buffered(bytes) => return Some(reqwest::Body::from(bytes)),
             Self::Streamed(streamed) => streamed,
         };
         let StreamedBody {
@@ -73,11 +73,11 @@
             limit,
             exceeded,
         } = streamed;
-        let mut passed = 0_u64;
+        let mut sent_bytes = 0_u64;
         let stream = body.into_data_stream().map(move |chunk| {
             let chunk = chunk.map_err(std::io::Error::other)?;
-            passed += chunk.len() as u64;
-            if passed > limit {
+            sent_bytes += chunk.len() as u64;
+            if sent_bytes > limit {
                 exceeded.store(true, Ordering::Release);
                 return Err(std::io::Error::other(BodyTooLarge));
             }
--- a/crates/node/src/traffic/refusal.rs
+++ b/crates/node/src/traffic/refusal.rs
@@ -15,13 +15,13 @@
 use serde::Serialize;
 
 /// How long a caller should wait before a retry if nothing more precise is known.
-const USUAL_RETRY: Duration = Duration::from_millis(500);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// A node's response to a request that no backend server has answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Refusal {
     pub(super) code: RefusalCode,
-    pub(super) retry: Option<Duration>,
+    pub(super) retry_after: Option<Duration>,
     pub(super) owner: Option<NodeName>,
 }
 
@@ -37,7 +37,7 @@
     fn from(code: RefusalCode) -> Self {
         Self {
             code,
-            retry: code.is_transient().then_some(USUAL_RETRY),
+            retry_after: code.is_transient().then_some(DEFAULT_RETRY_AFTER),
             owner: None,
         }
     }
@@ -54,7 +54,7 @@
 
     /// Returns the refusal for the caller after an earlier attempt was refused as well. Once an
     /// attempt may have run, a later "not run" does not hold for the request as a whole.
-    pub(super) fn after(self, earlier: Option<Self>) -> Self {
+    pub(super) fn merge_earlier(self, earlier: Option<Self>) -> Self {
         match earlier {
             Some(earlier)
                 if self.code.outcome() == WorkOutcome::NotRun
@@ -67,13 +67,15 @@
     }
 
     /// Parses the refusal of another node; none if the response is a backend server's.
-    pub(super) fn read(answer: &HeaderMap) -> Option<Self> {
-        let text = |name: &str| answer.get(name).and_then(|value| value.to_str().ok());
+    pub(super) fn from_headers(response: &HeaderMap) -> Option<Self> {
+        let text = |name: &str| response.get(name).and_then(|value| value.to_str().ok());
         let code = text(headers::REFUSAL)?.parse::<RefusalCode>().ok()?;
         let seconds = text(header::RETRY_AFTER.as_str()).and_then(|text| text.parse().ok());
         Some(Self {
             code,
-            retry: seconds.map(Duration::from_secs).or(Self::from(code).retry),
+            retry_after: seconds
+                .map(Duration::from_secs)
+                .or(Self::from(code).retry_after),
             owner: text(headers::OWNER).and_then(|name| name.parse().ok()),
         })
     }
@@ -83,13 +85,13 @@
         let body = RefusalBody {
             code: self.code,
             outcome: self.code.outcome(),
-            retry_after_ms: self.retry.map(|span| span.as_millis() as u64),
+            retry_after_ms: self.retry_after.map(|delay| delay.as_millis() as u64),
         };
         let text = serde_json::to_vec(&body).unwrap_or_default();
-        let mut answer = Response::new(Body::from(text));
-        *answer.status_mut() =
+        let mut response = Response::new(Body::from(text));
+        *response.status_mut() =
             StatusCode::from_u16(self.code.status()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
-        let map = answer.headers_mut();
+        let map = response.headers_mut();
         map.insert(
             header::CONTENT_TYPE,
             HeaderValue::from_static("application/json"),
@@ -98,9 +100,9 @@
             headers::REFUSAL,
             HeaderValue::from_static(self.code.as_str()),
         );
-        if let Some(span) = self.retry {
+        if let Some(delay) = self.retry_after {
             // The header has whole seconds; rounding down would make callers retry too early.
-            let seconds = span.as_millis().div_ceil(1_000) as u64;
+            let seconds = delay.as_millis().div_ceil(1_000) as u64;
             map.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
         }
         if let Some(value) = self
@@ -109,6 +111,6 @@
         {
             map.insert(headers::OWNER, value);
         }
-        answer
+        response
     }
 }
--- a/crates/node/src/traffic/running_traffic.rs
+++ b/crates/node/src/traffic/running_traffic.rs
@@ -17,7 +17,7 @@
 
 /// How long connections are still accepted, and closed with their next response, after a shutdown
 /// was requested; within this time the other nodes and the callers move to other nodes.
-pub(super) const LAST_CALL: Duration = Duration::from_millis(500);
+pub(super) const SHUTDOWN_GRACE: Duration = Duration::from_millis(500);
 
 /// Opens the traffic port.
 pub struct Traffic;
@@ -25,8 +25,8 @@
 /// The open traffic port and its threads; dropping it aborts every request.
 pub struct RunningTraffic {
     pub(super) core: Arc<TrafficCore>,
-    pub(super) finish: watch::Sender<bool>,
-    pub(super) served: watch::Receiver<bool>,
+    pub(super) shutdown: watch::Sender<bool>,
+    pub(super) stopped: watch::Receiver<bool>,
     address: SocketAddr,
     runtime: Option<Runtime>,
 }
@@ -47,30 +47,30 @@
             .enable_all()
             .build()
             .map_err(TrafficError::Threads)?;
-        let wanted = SocketAddr::new(config.address, config.port);
+        let requested = SocketAddr::new(config.address, config.port);
         let core = TrafficCore::new(config, view, clock, handovers)
             .map(Arc::new)
             .map_err(TrafficError::Connections)?;
         let listener = {
-            let _inside = runtime.enter();
-            server::listen(wanted)?
+            let _guard = runtime.enter();
+            server::listen(requested)?
         };
         let address = listener.local_addr().map_err(|source| TrafficError::Bind {
-            address: wanted,
+            address: requested,
             source,
         })?;
-        let (finish, finishing) = watch::channel(false);
-        let (done, served) = watch::channel(false);
-        let serving = Arc::clone(&core);
+        let (shutdown, shutdown_requested) = watch::channel(false);
+        let (stop, stopped) = watch::channel(false);
+        let shared_core = Arc::clone(&core);
         runtime.spawn(async move {
-            server::serve(listener, serving, finishing).await;
-            done.send_replace(true);
+            server::serve(listener, shared_core, shutdown_requested).await;
+            stop.send_replace(true);
         });
-        runtime.spawn(Arc::clone(&core.egress).keep_up());
+        runtime.spawn(Arc::clone(&core.egress).maintain());
         Ok(RunningTraffic {
             core,
-            finish,
-            served,
+            shutdown,
+            stopped,
             address,
             runtime: Some(runtime),
         })
--- a/crates/node/src/traffic/server.rs
+++ b/crates/node/src/traffic/server.rs
@@ -40,26 +40,26 @@
 pub(super) async fn serve(
     listener: TcpListener,
     core: Arc<TrafficCore>,
-    mut finish: watch::Receiver<bool>,
+    mut shutdown: watch::Receiver<bool>,
 ) {
-    let router = Router::new().fallback(answer).with_state(core);
+    let router = Router::new().fallback(handle).with_state(core);
     let listener = listener.tap_io(|stream| {
         if let Err(error) = stream.set_nodelay(true) {
             log::debug!(event = "nodelay_refused", error:% = error; "TCP_NODELAY was not set; small packets may be delayed");
         }
     });
-    let finished = async move {
-        let _ = finish.wait_for(|finish| *finish).await;
+    let shutdown_requested = async move {
+        let _ = shutdown.wait_for(|shutdown| *shutdown).await;
     };
-    let served = axum::serve(listener, router).with_graceful_shutdown(finished);
+    let served = axum::serve(listener, router).with_graceful_shutdown(shutdown_requested);
     if let Err(error) = served.await {
         log::error!(event = "traffic_port_failed", error:% = error; "the traffic port no longer accepts requests");
     }
 }
 
-async fn answer(State(core): State<Arc<TrafficCore>>, request: Request) -> Response<Body> {
-    let mut response = Arc::clone(&core).take_in(request).await;
-    if core.finishing.load(Ordering::Acquire) {
+async fn handle(State(core): State<Arc<TrafficCore>>, request: Request) -> Response<Body> {
+    let mut response = Arc::clone(&core).handle_request(request).await;
+    if core.shutting_down.load(Ordering::Acquire) {
         // If an idle connection is closed while the caller sends its next request, that request
         // is lost. A close announced in a response avoids this race.
         let close = HeaderValue::from_static("close");
--- a/crates/node/src/traffic/traffic_control.rs
+++ b/crates/node/src/traffic/traffic_control.rs
@@ -10,8 +10,8 @@
 use quetzalrack_core::ids::SliceId;
 use quetzalrack_core::traffic::TrafficStats;
 
-use super::running_traffic::LAST_CALL;
 use super::running_traffic::RunningTraffic;
+use super::running_traffic::SHUTDOWN_GRACE;
 use crate::shared::Handover;
 use crate::shared::TrafficControl;
 
@@ -46,16 +46,16 @@
     }
 
     fn work_samples(&self) -> Vec<WorkSample> {
-        self.core.egress.work()
+        self.core.egress.work_samples()
     }
 
     fn finish(&self) -> BoxFuture<'_, ()> {
         Box::pin(async move {
-            self.core.finishing.store(true, Ordering::Release);
-            tokio::time::sleep(LAST_CALL).await;
-            self.finish.send_replace(true);
-            let mut served = self.served.clone();
-            let _ = served.wait_for(|served| *served).await;
+            self.core.shutting_down.store(true, Ordering::Release);
+            tokio::time::sleep(SHUTDOWN_GRACE).await;
+            self.shutdown.send_replace(true);
+            let mut stopped = self.stopped.clone();
+            let _ = stopped.wait_for(|stopped| *stopped).await;
             self.core.egress.wait_until_idle().await;
         })
     }
--- a/crates/node/src/traffic/traffic_core.rs
+++ b/crates/node/src/traffic/traffic_core.rs
@@ -8,7 +8,7 @@
 use super::config::TrafficConfig;
 use super::counters::Counters;
 use super::egress::Egress;
-use super::hop::HopSeal;
+use super::hop::HopAuthenticator;
 use super::ingress::Ingress;
 use crate::shared::HandoverLink;
 use crate::shared::SharedView;
@@ -18,12 +18,12 @@
     pub(super) config: TrafficConfig,
     pub(super) view: Arc<SharedView>,
     pub(super) clock: Arc<dyn Clock>,
-    pub(super) seal: HopSeal,
+    pub(super) authenticator: HopAuthenticator,
     pub(super) counters: Counters,
     pub(super) egress: Arc<Egress>,
     pub(super) ingress: Ingress,
     /// Set once the node shuts down: every response then closes its connection.
-    pub(super) finishing: AtomicBool,
+    pub(super) shutting_down: AtomicBool,
 }
 
 impl TrafficCore {
@@ -33,7 +33,7 @@
         clock: Arc<dyn Clock>,
         handovers: Arc<dyn HandoverLink>,
     ) -> Result<Self, reqwest::Error> {
-        let seal = HopSeal::new(config.node.clone(), Arc::clone(&config.keys));
+        let authenticator = HopAuthenticator::new(config.node.clone(), Arc::clone(&config.keys));
         let egress = Egress::new(
             config.zone.clone(),
             Arc::clone(&view),
@@ -42,11 +42,11 @@
         )?;
         let ingress = Ingress::new(&config, Arc::clone(&clock))?;
         Ok(Self {
-            seal,
+            authenticator,
             counters: Counters::default(),
             egress: Arc::new(egress),
             ingress,
-            finishing: AtomicBool::new(false),
+            shutting_down: AtomicBool::new(false),
             config,
             view,
             clock,
