--- a/crates/node/src/traffic/egress/handovers.rs
+++ b/crates/node/src/traffic/egress/handovers.rs
@@ -89,7 +89,7 @@
             memory: state,
         };
         if !self.handovers.link.hand_over(successor, handover).await {
-            log::warn!(event = "handover_unconfirmed", slice:% = slice; "the successor did not confirm the idempotency state; it starts with an empty one");
+            log::warn!(event = "handover_unconfirmed", slice:% = slice; "the successor did not confirm the idempotency state; it may start with an empty one");
         }
     }
 
