--- a/crates/rack/src/traffic/wire/active_counter.rs
+++ b/crates/rack/src/traffic/wire/active_counter.rs
@@ -1,24 +1,24 @@
-//! Counting what is open.
+//! Counts connections and requests that are in progress.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts connections or requests for as long as each lasts.
+/// A shared count of connections or requests.
 #[derive(Clone, Debug, Default)]
 pub(in crate::traffic) struct ActiveCounter(Rc<Cell<usize>>);
 
-/// Is one of them; dropped, it counts no more.
+/// A counted connection or request; dropping it decrements the count.
 #[derive(Debug)]
 pub(in crate::traffic) struct ActiveGuard(Rc<Cell<usize>>);
 
 impl ActiveCounter {
-    /// Counts one more.
+    /// Increments the count until the guard is dropped.
     pub(in crate::traffic) fn enter(&self) -> ActiveGuard {
         self.0.set(self.0.get() + 1);
         ActiveGuard(Rc::clone(&self.0))
     }
 
-    /// Returns how many there are.
+    /// Returns the count.
     pub(in crate::traffic) fn count(&self) -> usize {
         self.0.get()
     }
--- a/crates/rack/src/traffic/wire/dial.rs
+++ b/crates/rack/src/traffic/wire/dial.rs
@@ -1,4 +1,4 @@
-//! Opening connections.
+//! Opens TCP connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,30 +8,30 @@
 use socket2::TcpKeepalive;
 use tokio::net::TcpStream;
 
-/// How long bytes may go unacknowledged, and a silent connection without an answer to a probe: a
-/// host without power never resets anything, and a request that was sent to it would hang.
+/// How long sent bytes may stay unacknowledged and keepalive probes unanswered: a host that lost
+/// power never resets a connection, and a request sent to it would hang.
 const UNACKED_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How often a silent connection is probed.
+/// Interval of the keepalive probes on an idle connection.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// How many probes may go unanswered.
+/// How many keepalive probes may stay unanswered.
 const KEEPALIVE_RETRIES: u32 = 2;
 
-/// Says why no connection could be opened.
+/// Why no connection could be opened.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub(crate) enum DialError {
-    /// Nobody listens there.
-    #[error("nobody listens")]
+    /// The port refused the connection.
+    #[error("connection refused")]
     Refused,
-    /// Nothing came back in time.
-    #[error("no answer in time")]
+    /// The host did not respond in time.
+    #[error("connection timed out")]
     TimedOut,
-    /// Another reason.
+    /// Another error.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Opens a connection within a time.
+/// Opens a connection within a timeout.
 pub(crate) async fn dial(address: SocketAddr, timeout: Duration) -> Result<TcpStream, DialError> {
     let opened = tokio::time::timeout(timeout, TcpStream::connect(address)).await;
     let stream = match opened {
--- a/crates/rack/src/traffic/wire/link_pacer.rs
+++ b/crates/rack/src/traffic/wire/link_pacer.rs
@@ -1,4 +1,4 @@
-//! Sharing the host's link among the connections.
+//! Shares the host's link among its connections.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,11 +13,11 @@
 
 use crate::clock;
 
-/// The shortest sleep between two turns; a timer that fires more often would cost more processor
-/// time than it is worth.
+/// The shortest sleep until a message may be written; a timer that fires more often would cost more
+/// processor time than it is worth.
 const MIN_SLEEP: Duration = Duration::from_millis(1);
 
-/// Runs the queue of long messages for the connections that leave the host.
+/// Schedules the long messages of the connections that use the link.
 #[derive(Debug)]
 pub(crate) struct LinkPacer {
     queue: RefCell<LinkQueue>,
@@ -26,7 +26,7 @@
 }
 
 impl LinkPacer {
-    /// Starts to share a link; runs until the process ends.
+    /// Starts a pacer for a link; it runs until the process ends.
     pub(crate) fn spawn(rate: LinkRate) -> Rc<Self> {
         let pacer = Rc::new(Self {
             queue: RefCell::new(LinkQueue::new(rate)),
@@ -37,12 +37,13 @@
         pacer
     }
 
-    /// Gives a long message its place.
+    /// Adds a long message to the queue.
     pub(super) fn add(&self) -> MessageId {
         self.queue.borrow_mut().add()
     }
 
-    /// Returns how many bytes of a message may be written now; else `waker` is woken at its turn.
+    /// Returns how many bytes of a message may be written now. If it has to wait, registers `waker`
+    /// and returns `None`.
     pub(super) fn request_write(&self, message: MessageId, waker: &Waker) -> Option<usize> {
         let allowed = self.queue.borrow_mut().request_write(clock::now(), message);
         if allowed.is_none() {
@@ -52,12 +53,12 @@
         allowed
     }
 
-    /// Counts bytes that were written.
+    /// Records bytes that were written.
     pub(super) fn record_written(&self, bytes: usize) {
         self.queue.borrow_mut().record_written(clock::now(), bytes);
     }
 
-    /// Takes a message out of the queue.
+    /// Removes a message from the queue.
     pub(super) fn remove(&self, message: MessageId) {
         self.queue.borrow_mut().remove(message);
         self.wakers.borrow_mut().remove(&message);
--- a/crates/rack/src/traffic/wire/listen.rs
+++ b/crates/rack/src/traffic/wire/listen.rs
@@ -9,8 +9,8 @@
 use socket2::Type;
 use tokio::net::TcpListener;
 
-/// How many connections may wait to be accepted: when more come, the opening packet is dropped and
-/// comes again only after a second.
+/// How many connections may wait to be accepted. If more arrive, their SYN packets are dropped and
+/// sent again only after a second.
 const BACKLOG: i32 = 1_024;
 
 /// Listens at an address.
--- a/crates/rack/src/traffic/wire/mod.rs
+++ b/crates/rack/src/traffic/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Connections: to clients, to other nodes and to the backend server.
+//! Connections to clients, to other nodes and to the backend server.
 
 mod active_counter;
 mod dial;
--- a/crates/rack/src/traffic/wire/paced_stream.rs
+++ b/crates/rack/src/traffic/wire/paced_stream.rs
@@ -1,4 +1,4 @@
-//! Connections that wait for their turn on the host's link.
+//! Connections whose long messages share the host's link.
 
 use std::io;
 use std::pin::Pin;
@@ -13,26 +13,26 @@
 
 use super::LinkPacer;
 
-/// How many bytes of a message go at once, without a turn: all of a short answer, and the first
-/// packets of a long one.
+/// How many bytes of a message are written without waiting: a short response as a whole, and the
+/// first packets of a long one.
 const UNPACED_BYTES: usize = 4 * 1024;
 
-/// Is a connection on which long messages wait for their turn on the link.
+/// A connection on which long messages wait until the link has capacity for them.
 ///
-/// A narrow link with a full queue delays everything that leaves the host: the short answers on which
-/// other servers wait, and the opening of new connections, which then count as refused.
+/// A narrow link with a full queue delays everything that leaves the host: short responses that
+/// other servers wait for, and the opening of new connections, which then count as refused.
 #[derive(Debug)]
 pub(in crate::traffic) struct PacedStream<S> {
     inner: S,
     pacer: Option<Rc<LinkPacer>>,
-    /// How many bytes have been written since the far side last spoke: on a connection that carries
-    /// one exchange at a time, that is one message.
+    /// Bytes written since the peer last sent any. On a connection that carries one exchange at a
+    /// time, that is one message.
     message_bytes: usize,
     message_id: Option<MessageId>,
 }
 
 impl<S> PacedStream<S> {
-    /// Paces a connection; without a pacer its link is taken for wide.
+    /// Paces a connection; without a pacer its writes are not limited.
     pub(in crate::traffic) fn new(inner: S, pacer: Option<Rc<LinkPacer>>) -> Self {
         Self {
             inner,
@@ -110,8 +110,8 @@
                 pacer.record_written(*count);
             }
         }
-        // What follows asks again, under the same number. If nothing follows, or the far side takes
-        // no more for now, the others go on.
+        // The next write requests its share again, under the same id. If there is no next write, or
+        // the peer accepts no more for now, other messages proceed.
         if let (Some(message_id), Some(pacer)) = (self.message_id, &self.pacer) {
             pacer.remove(message_id);
         }
--- a/crates/rack/src/traffic/wire/pool.rs
+++ b/crates/rack/src/traffic/wire/pool.rs
@@ -1,4 +1,4 @@
-//! Warm connections.
+//! A pool of persistent HTTP/1.1 connections.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -25,39 +25,39 @@
 use super::dial::dial;
 use crate::clock;
 
-/// How often a busy pool is looked at for a free connection.
+/// How often the pool is checked for an idle connection while all are in use.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Bounds the connections to one address.
+/// The limits of the connections to one address.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PoolLimits {
-    /// How long opening one may take.
+    /// How long opening a connection may take.
     pub(crate) dial_timeout: Duration,
-    /// How long an idle one is used again: the far side closes it some time later.
+    /// How long an idle connection may be reused: the peer closes it some time later.
     pub(crate) idle_timeout: Duration,
-    /// How many are kept idle.
+    /// How many idle connections are kept.
     pub(crate) max_idle: usize,
 }
 
-/// Says why an exchange brought no whole answer.
+/// Why an exchange brought no complete response.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub(crate) enum ExchangeError {
     /// No connection could be opened; nothing was sent.
-    #[error("no connection: {0}")]
+    #[error("could not connect: {0}")]
     Connect(#[from] DialError),
-    /// The connection broke, or brought bytes that are no answer; the request may have run.
+    /// The connection broke, or brought no valid response; the request may have run.
     #[error("the connection broke: {0}")]
     Broken(#[from] hyper::Error),
 }
 
-/// Keeps warm connections by address.
+/// Keeps idle connections by address.
 #[derive(Debug)]
 pub(crate) struct Pool {
     limits: PoolLimits,
     pacer: Option<Rc<LinkPacer>>,
     idle: RefCell<HashMap<SocketAddr, Vec<IdleEntry>>>,
-    opened: RefCell<u64>,
+    opened_count: RefCell<u64>,
     open: ActiveCounter,
 }
 
@@ -67,18 +67,18 @@
     since: Moment,
 }
 
-/// Is one connection; dropped, it is closed, and what was asked on it is cancelled at the far side.
+/// One connection; dropping it closes it, and cancels its request at the peer.
 #[derive(Debug)]
 struct Connection {
-    opened: Moment,
+    opened_at: Moment,
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
 }
 
-/// Says what became of a request on one connection.
+/// The result of sending a request on one connection.
 enum SendOutcome {
     Answered(Response<Bytes>),
-    /// The connection had ended; nothing was written.
+    /// The connection had been closed; nothing was written.
     Unwritten(Request<Full<Bytes>>),
 }
 
@@ -104,19 +104,20 @@
 }
 
 impl Pool {
-    /// Makes an empty pool; `pacer` shares the link that its connections use, if they use one.
+    /// Makes an empty pool; `pacer` paces the writes of its connections, if given.
     pub(crate) fn new(limits: PoolLimits, pacer: Option<Rc<LinkPacer>>) -> Rc<Self> {
         Rc::new(Self {
             limits,
             pacer,
             idle: RefCell::default(),
-            opened: RefCell::default(),
+            opened_count: RefCell::default(),
             open: ActiveCounter::default(),
         })
     }
 
-    /// Sends a request and reads the whole answer. `youngest` bounds how long a connection may have
-    /// been idle to be used; a far side that drops idle ones resets what is sent next.
+    /// Sends a request and reads the whole response. `idle_limit` is the longest time that a reused
+    /// connection may have been idle; a peer that closes idle connections resets what is sent on
+    /// them next.
     pub(crate) async fn exchange<K>(
         &self,
         address: SocketAddr,
@@ -141,14 +142,15 @@
                     }
                     return Ok(response);
                 }
-                // Another connection may carry it.
+                // Another connection may be used.
                 SendOutcome::Unwritten(unsent) => request = unsent,
             }
         }
     }
 
-    /// Sends a request that is written only once a connection is free, since its content depends on the
-    /// time; none if it is too late by then, or if there is no connection that was opened before a moment.
+    /// Sends a request that is built only once a connection is free, because its content depends on
+    /// the time. Returns `None` if `build_request` does, or if no connection that was opened before
+    /// the given moment is left.
     pub(crate) async fn exchange_deferred<M>(
         &self,
         address: SocketAddr,
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Opens connections until as many are idle as are kept.
+    /// Opens connections until `max_idle` are idle.
     pub(crate) async fn warm(&self, address: SocketAddr) -> Result<(), ExchangeError> {
         while self.idle_count(address) < self.limits.max_idle {
             let connection = self.open(address).await?;
@@ -186,7 +188,8 @@
         Ok(())
     }
 
-    /// Waits for a connection that was opened before a moment; none if there is none, idle or in use.
+    /// Waits for an idle connection that was opened before a moment; returns `None` if none is
+    /// left, idle or in use.
     async fn wait_opened_before(&self, address: SocketAddr, before: Moment) -> Option<Connection> {
         loop {
             let found = self.take_opened_before(address, before);
@@ -197,16 +200,16 @@
         }
     }
 
-    /// Takes the one that has been idle for longest, so that all stay in use.
+    /// Takes the connection that has been idle for the longest time, so that all stay in use.
     fn take_opened_before(&self, address: SocketAddr, before: Moment) -> Option<Connection> {
         self.drop_expired(address);
-        let mut all = self.idle.borrow_mut();
-        let kept = all.get_mut(&address)?;
+        let mut by_address = self.idle.borrow_mut();
+        let entries = by_address.get_mut(&address)?;
         let usable = |entry: &IdleEntry| {
-            entry.connection.opened < before && entry.connection.sender.is_ready()
+            entry.connection.opened_at < before && entry.connection.sender.is_ready()
         };
-        let index = kept.iter().position(usable)?;
-        Some(kept.remove(index).connection)
+        let index = entries.iter().position(usable)?;
+        Some(entries.remove(index).connection)
     }
 
     fn idle_count(&self, address: SocketAddr) -> usize {
@@ -216,15 +219,15 @@
 
     fn drop_expired(&self, address: SocketAddr) {
         let now = clock::now();
-        if let Some(kept) = self.idle.borrow_mut().get_mut(&address) {
-            kept.retain(|idle| {
+        if let Some(entries) = self.idle.borrow_mut().get_mut(&address) {
+            entries.retain(|idle| {
                 now.since(idle.since) < self.limits.idle_timeout
                     && !idle.connection.sender.is_closed()
             });
         }
     }
 
-    /// Tells whether a connection is open, idle or not.
+    /// Returns whether any connection is open, idle or in use.
     pub(crate) fn is_connected(&self) -> bool {
         self.open.count() > 0
     }
@@ -234,9 +237,9 @@
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Returns how many connections were opened.
+    /// Returns how many connections were opened so far.
     pub(crate) fn opened_count(&self) -> u64 {
-        *self.opened.borrow()
+        *self.opened_count.borrow()
     }
 
     async fn take_or_open(
@@ -254,42 +257,42 @@
         let now = clock::now();
         let idle_limit = idle_limit.min(self.limits.idle_timeout);
         self.drop_expired(address);
-        let mut all = self.idle.borrow_mut();
-        let kept = all.get_mut(&address)?;
-        let newest = kept
+        let mut by_address = self.idle.borrow_mut();
+        let entries = by_address.get_mut(&address)?;
+        let newest = entries
             .last()
             .filter(|newest| now.since(newest.since) < idle_limit)?;
         if !newest.connection.sender.is_ready() {
             return None;
         }
-        kept.pop().map(|idle| idle.connection)
+        entries.pop().map(|idle| idle.connection)
     }
 
     fn put_back(&self, address: SocketAddr, connection: Connection) {
         if connection.sender.is_closed() {
             return;
         }
-        let mut all = self.idle.borrow_mut();
-        let kept = all.entry(address).or_default();
-        if kept.len() < self.limits.max_idle {
+        let mut by_address = self.idle.borrow_mut();
+        let entries = by_address.entry(address).or_default();
+        if entries.len() < self.limits.max_idle {
             let since = clock::now();
-            kept.push(IdleEntry { connection, since });
+            entries.push(IdleEntry { connection, since });
         }
     }
 
     async fn open(&self, address: SocketAddr) -> Result<Connection, ExchangeError> {
         let stream = dial(address, self.limits.dial_timeout).await?;
-        *self.opened.borrow_mut() += 1;
+        *self.opened_count.borrow_mut() += 1;
         let stream = PacedStream::new(stream, self.pacer.clone());
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let open = self.open.enter();
-        // Its end shows at the sender.
+        // The sender reports when the connection ends.
         let task = tokio::task::spawn_local(async move {
             connection.await.ok();
             drop(open);
         });
         Ok(Connection {
-            opened: clock::now(),
+            opened_at: clock::now(),
             sender,
             task: task.abort_handle(),
         })
--- a/crates/rack/src/traffic/wire/request_scanner.rs
+++ b/crates/rack/src/traffic/wire/request_scanner.rs
@@ -1,4 +1,4 @@
-//! Finding the requests in what a client sends.
+//! Finds the requests in the bytes that a client sends.
 
 use http::HeaderName;
 use http::HeaderValue;
@@ -9,35 +9,36 @@
 use http::header::TRANSFER_ENCODING;
 use http::request::Parts;
 
-/// How many headers a head may have to be understood here.
+/// How many headers a head may have to be parsed here.
 const MAX_HEADERS: usize = 64;
-/// How many bytes of an unfinished head are kept.
+/// How many bytes of an incomplete head are kept.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 
-/// Is a request without a body, and its place among those of its connection.
+/// The head of a request without a body, and its number on its connection.
 #[derive(Debug)]
 pub(in crate::traffic) struct ScannedHead {
     pub(in crate::traffic) number: u64,
     pub(in crate::traffic) parts: Parts,
 }
 
-/// Finds the heads of requests in the bytes of a connection, ahead of the HTTP library, which reads
-/// the next one only after it has answered the one before.
+/// Finds the heads of requests in the bytes of a connection before the HTTP library does, which
+/// reads the next request only after it has answered the one before.
 ///
-/// What it finds is a hint: the library reads the same bytes and decides. Where the two could differ,
-/// at anything but a plain head and a plain length, the scanner finds nothing more.
+/// The result is a hint: the library parses the same bytes, and its result takes precedence. Where
+/// the two parsers could differ, at anything but a plain head and a plain length, the scanner
+/// stops.
 #[derive(Debug, Default)]
 pub(in crate::traffic) struct RequestScanner {
-    /// The bytes of a head that has not ended yet.
+    /// The bytes of an incomplete head.
     partial_head: Vec<u8>,
-    /// How many bytes of a body are still to come.
+    /// How many bytes of a body are still to be received.
     body_left: usize,
     next_number: u64,
     stopped: bool,
 }
 
 impl RequestScanner {
-    /// Takes the next bytes and returns the requests without a body that end in them.
+    /// Scans the next bytes and returns the requests without a body that end in them.
     pub(in crate::traffic) fn scan(&mut self, bytes: &[u8]) -> Vec<ScannedHead> {
         let mut heads = Vec::new();
         if self.stopped {
@@ -77,12 +78,12 @@
         }
     }
 
-    /// Returns the place of a request whose head has begun and not ended.
+    /// Returns the number of the request whose head was received in part.
     pub(in crate::traffic) fn partial_request(&self) -> Option<u64> {
         (self.body_left == 0 && !self.partial_head.is_empty()).then_some(self.next_number)
     }
 
-    /// Finds nothing more.
+    /// Stops the scanner: it finds no more requests.
     pub(in crate::traffic) fn stop(&mut self) {
         self.stopped = true;
         self.partial_head = Vec::new();
@@ -91,7 +92,7 @@
 
 enum Scan {
     Partial,
-    /// Not a head that both would surely read in the same way.
+    /// A head that the HTTP library might parse differently.
     Unclear,
     Complete {
         head_bytes: usize,
--- a/crates/rack/src/traffic/wire/watched_stream.rs
+++ b/crates/rack/src/traffic/wire/watched_stream.rs
@@ -1,4 +1,4 @@
-//! Client connections that tell when the client has gone.
+//! Client connections that report when the client disconnects.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -18,17 +18,17 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::sync::Notify;
 
-/// How much is read ahead of the HTTP library. Beyond it the client has to wait, as usual, and its
-/// leaving shows only once the library has read on.
+/// How many bytes are buffered ahead of the HTTP library. Beyond that the client has to wait, as
+/// usual, and its disconnect is noticed only once the library has read on.
 const READ_AHEAD_BYTES: usize = 256 * 1024;
-/// How much is read at once.
+/// How many bytes are read at once.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// Is a client connection of which the end is seen while the library does not read.
+/// A client connection whose end is noticed while the HTTP library does not read from it.
 ///
-/// While a request is worked on, the library stops reading as soon as it holds the bytes of the
-/// next one. A client that sends several and leaves would then not be noticed, and its work would
-/// go on at the backend server.
+/// While a request is in progress, the library stops reading once it holds the bytes of the next
+/// one. The disconnect of a client that sent several requests would go unnoticed, and the backend
+/// server would go on working on them.
 #[derive(Debug)]
 pub(in crate::traffic) struct WatchedStream {
     shared: Rc<Shared>,
@@ -51,12 +51,13 @@
     task: Option<tokio::task::AbortHandle>,
 }
 
-/// Tells when the client has gone.
+/// Reports when the client has disconnected.
 #[derive(Debug)]
 pub(in crate::traffic) struct Disconnect(Rc<Shared>);
 
 impl WatchedStream {
-    /// Watches a connection; `look` is shown its bytes as they come, before the library reads them.
+    /// Watches a connection; `inspect` is called with its bytes as they arrive, before the HTTP
+    /// library reads them.
     pub(in crate::traffic) fn open<L>(stream: TcpStream, inspect: L) -> (Self, Disconnect)
     where
         L: Fn(&[u8]) + 'static,
@@ -71,7 +72,7 @@
 }
 
 impl Disconnect {
-    /// Waits until the client has closed the connection. The library sees that by itself only if it
+    /// Waits until the client has closed the connection. The HTTP library notices that only if it
     /// holds no bytes of a next request.
     pub(in crate::traffic) async fn wait(&self) {
         self.0.disconnected.notified().await;
--- a/crates/rack/src/traffic/wire/write_limiter.rs
+++ b/crates/rack/src/traffic/wire/write_limiter.rs
@@ -1,14 +1,14 @@
-//! Holding requests back that have a connection.
+//! Delays requests that already have a connection.
 
 use std::time::Duration;
 
-/// Says when a request may be written on its open connection.
+/// Limits when a request may be written on its connection.
 pub(crate) trait WriteLimiter {
-    /// Lets one request pass, or returns when to ask again.
+    /// Allows one request to be written, or returns when to ask again.
     fn try_write(&self) -> Option<Duration>;
 }
 
-/// Holds nothing back.
+/// Delays nothing.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Unlimited;
 
