--- a/crates/rack/src/traffic/hop/hop_client.rs
+++ b/crates/rack/src/traffic/hop/hop_client.rs
@@ -1,4 +1,4 @@
-//! Sending jobs to other nodes.
+//! Sends jobs to other nodes.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -26,19 +26,20 @@
 use crate::traffic::wire::Unlimited;
 use crate::traffic::wire::dial;
 
-/// Connections between nodes: a host in reach answers within a few milliseconds, and one that does
-/// not should cost a request little of its time. Nodes keep idle ones for longer than this.
+/// Limits of the connections between nodes. A reachable host accepts a connection within a few
+/// milliseconds, and an unreachable one should cost a request little of its time. Nodes keep idle
+/// connections open for longer than this.
 const POOL_LIMITS: PoolLimits = PoolLimits {
     dial_timeout: Duration::from_millis(120),
     idle_timeout: Duration::from_secs(20),
     max_idle: 16,
 };
-/// How long a node may take to accept a connection that only asks whether it is there; a busy one
-/// may be slow, and giving up on it costs what it works on.
+/// How long a reachability probe waits for its connection. A busy node may be slow to accept it,
+/// and giving it up would lose the requests it works on.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-/// How much longer than the job's own time its answer is waited for: the other node gives its own
-/// answer at the end of that time, and it needs the way back.
-const RETURN_TIME: Duration = Duration::from_millis(20);
+/// How much longer than the deadline of the job its response is waited for: the other node responds
+/// at the deadline at the latest, and its response takes time to arrive.
+const RESPONSE_TRANSIT: Duration = Duration::from_millis(20);
 
 /// Sends jobs to other nodes.
 #[derive(Debug)]
@@ -53,12 +54,12 @@
         }
     }
 
-    /// Tells whether a node takes connections.
+    /// Returns whether a node accepts connections.
     pub(in crate::traffic) async fn is_reachable(&self, address: SocketAddr) -> bool {
         dial(address, PROBE_TIMEOUT).await.is_ok()
     }
 
-    /// Tells a node that knows no document that the one at `neighbour` does.
+    /// Tells a node without a configuration document that the node at `source` has one.
     pub(in crate::traffic) async fn announce_intent_source(
         &self,
         address: SocketAddr,
@@ -81,17 +82,17 @@
             &Unlimited,
             |_| true,
         );
-        // Lost, it is said again with the next request that is refused there.
+        // If the message is lost, the next request that the node refuses sends it again.
         tokio::time::timeout(PROBE_TIMEOUT, exchange).await.ok();
     }
 
-    /// Sends a job to the node at `address` and returns what became of it there.
+    /// Sends a job to the node at `address` and returns its report.
     pub(in crate::traffic) async fn send(&self, address: SocketAddr, job: &Job) -> AttemptReport {
         let now = clock::now();
         let Some(request) = hop_request::encode(now, job) else {
             return AttemptReport::new(Outcome::NotRun(RefusalReason::NodeAway, Duration::ZERO));
         };
-        let timeout = job.deadline.since(now) + RETURN_TIME;
+        let timeout = job.deadline.since(now) + RESPONSE_TRANSIT;
         let exchange = self.pool.exchange(
             address,
             request,
--- a/crates/rack/src/traffic/hop/hop_request.rs
+++ b/crates/rack/src/traffic/hop/hop_request.rs
@@ -14,8 +14,8 @@
 use super::JOB_HEADER;
 use crate::traffic::job::Job;
 
-/// Writes a job as a request to another node. Times are sent as what is left of them, since the
-/// clocks of two hosts are never compared.
+/// Encodes a job as a request to another node. Times are sent as the time left, because the clocks
+/// of two hosts are never compared.
 pub(super) fn encode(now: Moment, job: &Job) -> Option<Request<Full<Bytes>>> {
     let is_once = job.kind == RequestKind::Once;
     let text = format!(
@@ -38,7 +38,7 @@
     Some(request)
 }
 
-/// Reads a job from a request of another node.
+/// Decodes a request of another node; returns `None` if it is malformed.
 pub(super) fn decode(now: Moment, parts: Parts, body: Bytes) -> Option<Job> {
     let mut headers = parts.headers;
     let value = headers.remove(JOB_HEADER)?;
--- a/crates/rack/src/traffic/hop/hop_response.rs
+++ b/crates/rack/src/traffic/hop/hop_response.rs
@@ -1,4 +1,4 @@
-//! The answer that one node gives to another.
+//! The response of one node to another.
 
 use std::time::Duration;
 
@@ -17,10 +17,10 @@
 const NOT_RUN: &str = "not_run";
 const LOST: &str = "lost";
 
-/// Writes a report as an answer to another node.
+/// Encodes a report as a response to another node.
 pub(super) fn encode(report: AttemptReport) -> Response<Full<Bytes>> {
     let load = report.load.unwrap_or_default();
-    let (kind, detail, encoded) = match report.outcome {
+    let (kind, detail, response) = match report.outcome {
         Outcome::Answered(response) => (ANSWERED, String::new(), response),
         Outcome::NotRun(reason, retry_after) => {
             let owner = report.owner.map(|owner| format!(" {owner}"));
@@ -34,21 +34,21 @@
         "{kind} {} {} {} {} {}{detail}",
         load.requests, load.limit, load.slowdown_percent, load.request_ms, load.backlog_ms
     );
-    let mut encoded = encoded.map(Full::new);
-    // The words are all plain ASCII.
+    let mut response = response.map(Full::new);
+    // All fields are plain ASCII.
     if let Ok(value) = HeaderValue::from_str(&header) {
-        encoded.headers_mut().insert(OUTCOME_HEADER, value);
+        response.headers_mut().insert(OUTCOME_HEADER, value);
     }
-    encoded
+    response
 }
 
 fn empty_response() -> Response<Bytes> {
-    let mut encoded = Response::new(Bytes::new());
-    *encoded.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-    encoded
+    let mut response = Response::new(Bytes::new());
+    *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
+    response
 }
 
-/// Reads the answer of another node; nothing if it is none.
+/// Decodes the response of another node; returns `None` if it is malformed.
 pub(super) fn decode(mut response: Response<Bytes>) -> Option<AttemptReport> {
     let value = response.headers_mut().remove(OUTCOME_HEADER)?;
     let mut fields = value.to_str().ok()?.split(' ');
--- a/crates/rack/src/traffic/hop/hop_server.rs
+++ b/crates/rack/src/traffic/hop/hop_server.rs
@@ -1,4 +1,4 @@
-//! Taking jobs from other nodes.
+//! Serves jobs that other nodes send.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -34,18 +34,19 @@
 use crate::traffic::wire::LinkPacer;
 use crate::traffic::wire::PacedStream;
 
-/// How soon a node asks again that was refused because this one is shutting down.
+/// When a node may retry a job that is refused because this node is shutting down.
 const RETRY_AFTER_SHUTDOWN: Duration = Duration::from_millis(500);
 
-/// Serves other nodes.
+/// Serves connections of other nodes.
 #[derive(Clone)]
 pub(in crate::traffic) struct HopServer {
     pub(in crate::traffic) egress: Rc<Egress>,
     pub(in crate::traffic) board: Arc<Board>,
     pub(in crate::traffic) pacer: Option<Rc<LinkPacer>>,
-    /// The connections of other nodes.
+    /// Counts the connections of other nodes.
     pub(in crate::traffic) connections: ActiveCounter,
-    /// Turns true when they are to be closed, each after the answer that is being written.
+    /// Becomes true when the connections are to be closed, each after the response that is being
+    /// written.
     pub(in crate::traffic) closing: watch::Receiver<bool>,
 }
 
@@ -63,7 +64,7 @@
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         let mut connection = std::pin::pin!(connection);
         tokio::select! {
-            // A broken connection has no one to tell; its jobs were cancelled with it.
+            // A broken connection leaves nobody to notify; its jobs were cancelled with it.
             _ = connection.as_mut() => {}
             _ = closing.wait_for(|closing| *closing) => {
                 connection.as_mut().graceful_shutdown();
@@ -98,7 +99,7 @@
         Ok(hop_response::encode(report))
     }
 
-    /// Notes a node that knows the operators' document.
+    /// Records the address of a node that has the operators' document.
     fn receive_intent_source(&self, body: &[u8]) -> Response<Full<Bytes>> {
         match postcard::from_bytes(body) {
             Ok(source) => {
--- a/crates/rack/src/traffic/hop/mod.rs
+++ b/crates/rack/src/traffic/hop/mod.rs
@@ -1,4 +1,5 @@
-//! Requests between nodes: HTTP/1.1 on warm connections, with one header of ours each way.
+//! Requests between nodes: HTTP/1.1 over persistent connections, with one added header in each
+//! direction.
 
 mod hop_client;
 mod hop_request;
@@ -8,9 +9,9 @@
 pub(super) use hop_client::HopClient;
 pub(super) use hop_server::HopServer;
 
-/// The path at which a node gives the operators' intent to another.
+/// The path at which a node serves the operators' intent to its peers.
 pub(crate) const INTENT_PATH: &str = "/quetzalrack/intent";
-/// Carries what a route says of a request.
+/// The header of a request to another node with the route's settings.
 const JOB_HEADER: &str = "qr-job";
-/// Carries what became of it.
+/// The header of its response with the outcome.
 const OUTCOME_HEADER: &str = "qr-outcome";
