--- a/crates/rack/src/traffic/ingress/attempts.rs
+++ b/crates/rack/src/traffic/ingress/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request.
+//! The attempts to serve one request.
 
 use std::time::Duration;
 
@@ -10,24 +10,25 @@
 
 use crate::traffic::outcome::LostReason;
 
-/// When to come back if no server of the service is usable.
+/// When a client may retry if no server of the service is usable.
 pub(super) const RETRY_AFTER_NO_SERVER: Duration = Duration::from_millis(400);
-/// Follows the attempts of one request.
+
+/// The state of all attempts to serve one request.
 pub(super) struct Attempts {
     pub(super) tried_nodes: Vec<NodeName>,
-    /// How many reached a backend server.
+    /// How many attempts reached a backend server.
     pub(super) sent_count: u32,
-    /// Whether one of them may have run.
+    /// Why the last attempt without a response was lost, if one was; it may have run.
     pub(super) lost: Option<LostReason>,
-    /// A failure that a server answered.
-    pub(super) failed_response: Option<Response<Bytes>>,
-    /// The last refusal.
+    /// The last response of a server.
+    pub(super) response: Option<Response<Bytes>>,
+    /// The last refusal, and when to retry.
     pub(super) last_refusal: (RefusalReason, Duration),
-    /// The owner of the key by the word of a node that refused, until it is tried.
+    /// The owner of the key that a refusing node named, until it is tried.
     pub(super) hinted_owner: Option<NodeName>,
-    /// How many such words were followed without a wait.
+    /// How many such hints were followed without a wait between them.
     pub(super) hints_followed: u32,
-    /// Since when the request waits for an owner of its key, and how long it does.
+    /// When the request began to wait for an owner of its key, and how long it may wait.
     pub(super) owner_wait: Option<(Moment, Duration)>,
 }
 
@@ -37,7 +38,7 @@
             tried_nodes: Vec::new(),
             sent_count: 0,
             lost: None,
-            failed_response: None,
+            response: None,
             last_refusal: (RefusalReason::NoServer, RETRY_AFTER_NO_SERVER),
             hinted_owner: None,
             hints_followed: 0,
--- a/crates/rack/src/traffic/ingress/client_port.rs
+++ b/crates/rack/src/traffic/ingress/client_port.rs
@@ -29,33 +29,33 @@
 use crate::traffic::wire::PacedStream;
 use crate::traffic::wire::WatchedStream;
 
-/// The smallest buffer that the HTTP library takes for a header section.
+/// The smallest buffer that the HTTP library accepts for a header section.
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
-/// How long the first request of a connection may take to come while the process leaves: clients send it
-/// when the connection is open, and a busy host reads it tenths of a second later.
+/// How long the first request of a connection may take to arrive during shutdown: clients send it
+/// once the connection is open, and a busy host may read it tenths of a second later.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Serves clients.
+/// Serves connections of clients.
 #[derive(Clone)]
 pub(in crate::traffic) struct ClientPort {
     pub(in crate::traffic) ingress: Rc<Ingress>,
     pub(in crate::traffic) board: Arc<Board>,
-    /// Turns true when idle connections are to be closed.
+    /// Becomes true when idle connections are to be closed.
     pub(in crate::traffic) closing: watch::Receiver<bool>,
     pub(in crate::traffic) pacer: Option<Rc<LinkPacer>>,
-    /// The connections of clients.
+    /// Counts the connections of clients.
     pub(in crate::traffic) connections: ActiveCounter,
 }
 
 impl ClientPort {
-    /// Accepts connections until `last` turns true.
+    /// Accepts connections until `stop_accepting` becomes true.
     pub(in crate::traffic) async fn run(
         self,
         listener: TcpListener,
         mut stop_accepting: watch::Receiver<bool>,
     ) {
         let stopped = async {
-            // Without a sender the process is over as well.
+            // If the sender is dropped, the process ends as well.
             stop_accepting
                 .wait_for(|stop_accepting| *stop_accepting)
                 .await
@@ -75,9 +75,9 @@
         let config = self.board.view().intent.config.clone();
         let limits = config.map(|config| config.limits).unwrap_or_default();
         let pipeline = Pipeline::new(Rc::clone(&self.ingress));
-        let scanning = Rc::clone(&pipeline);
-        let observed = Rc::clone(&pipeline);
-        let (stream, disconnect) = WatchedStream::open(stream, move |bytes| scanning.scan(bytes));
+        let scanner = Rc::clone(&pipeline);
+        let head_watch = Rc::clone(&pipeline);
+        let (stream, disconnect) = WatchedStream::open(stream, move |bytes| scanner.scan(bytes));
         let stream = PacedStream::new(stream, self.pacer.clone());
         let (port, mut closing) = (self.clone(), self.closing.clone());
         let service = service_fn(move |request| port.clone().handle(Rc::clone(&pipeline), request));
@@ -87,23 +87,22 @@
             .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
             .serve_connection(TokioIo::new(stream), service);
         let mut connection = std::pin::pin!(connection);
-        // A client that left while its request lay in a queue is looked for first, so that the
-        // request is not started.
+        // A disconnect of the client is checked first, so that its queued request is not started.
         tokio::select! {
             biased;
             () = disconnect.wait() => {}
-            // A broken connection has no one to tell.
+            // A broken connection leaves nobody to notify.
             _ = connection.as_mut() => {}
-            () = observed.wait_slow_head(limits.header_timeout) => {
+            () = head_watch.wait_slow_head(limits.header_timeout) => {
                 log::info!(event = "head_too_slow", after_ms = limits.header_timeout.as_millis() as u64; "");
             }
             _ = closing.wait_for(|closing| *closing) => {
-                // The first request of a connection that has just been opened may be on its way.
+                // The first request of a newly opened connection may be on its way.
                 tokio::select! {
                     biased;
                     () = disconnect.wait() => return,
                     _ = connection.as_mut() => return,
-                    () = observed.wait_first_request() => {}
+                    () = head_watch.wait_first_request() => {}
                     () = tokio::time::sleep(FIRST_REQUEST_TIMEOUT) => {}
                 }
                 connection.as_mut().graceful_shutdown();
--- a/crates/rack/src/traffic/ingress/client_response.rs
+++ b/crates/rack/src/traffic/ingress/client_response.rs
@@ -1,4 +1,4 @@
-//! What a client hears.
+//! Responses to clients, and the headers that are not forwarded.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 use http::header::TRANSFER_ENCODING;
 use http::header::UPGRADE;
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which apply to one connection only.
 const CONNECTION_HEADERS: [HeaderName; 7] = [
     CONNECTION,
     PROXY_AUTHENTICATE,
@@ -28,28 +28,29 @@
     TRANSFER_ENCODING,
     UPGRADE,
 ];
-/// The same, without a constant of the library.
+/// Another hop-by-hop header, for which the `http` crate has no constant.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Says that a request surely has not run, and when to come back. Its status is a promise.
+/// Makes the response to a request that was certainly not run, with the time until the client may
+/// retry. Clients rely on its status as proof that the request was not run.
 pub(super) fn not_run_response(retry_after: Duration) -> Response<Bytes> {
     let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     let seconds = format!("{:.3}", retry_after.as_secs_f64());
-    // Digits and a point always make a header.
+    // Digits and a decimal point are always a valid header value.
     if let Ok(value) = HeaderValue::from_str(&seconds) {
         response.headers_mut().insert(RETRY_AFTER, value);
     }
     response
 }
 
-/// Makes an answer without a body.
+/// Makes a response without a body.
 pub(super) fn empty_response(status: StatusCode) -> Response<Bytes> {
     let mut response = Response::new(Bytes::new());
     *response.status_mut() = status;
     response
 }
 
-/// Removes the headers that concern one connection, also those that `Connection` names.
+/// Removes the hop-by-hop headers, including those that `Connection` names.
 pub(super) fn strip_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -61,6 +62,6 @@
     for name in named.iter().chain(&CONNECTION_HEADERS).chain([&KEEP_ALIVE]) {
         headers.remove(name);
     }
-    // The body is passed on whole, so its length is written anew.
+    // The body is forwarded as a whole, so its length is set again.
     headers.remove(CONTENT_LENGTH);
 }
--- a/crates/rack/src/traffic/ingress/incoming_request.rs
+++ b/crates/rack/src/traffic/ingress/incoming_request.rs
@@ -1,4 +1,4 @@
-//! Reading a client's request.
+//! Reads the requests of clients.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,28 +23,29 @@
 use crate::shared::NodeView;
 use crate::traffic::job::Job;
 
-/// How long a client is assumed to wait that does not say.
+/// How long a client is assumed to wait if it does not say.
 const DEFAULT_CLIENT_TIMEOUT: Duration = Duration::from_secs(30);
-/// How much earlier than a client's patience ends it must be answered: the way back to it.
-const RETURN_TIME: Duration = Duration::from_millis(25);
-/// When to come back to a node that has no configuration yet.
+/// How much earlier than the client's own deadline it must be answered: the response takes time to
+/// arrive.
+const RESPONSE_TRANSIT: Duration = Duration::from_millis(25);
+/// When a client may retry at a node that has no configuration yet.
 const RETRY_AFTER_NO_CONFIG: Duration = Duration::from_millis(500);
 
-/// Says why a request goes nowhere.
+/// Why a request is not sent to any node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Rejection {
-    /// The node knows no configuration yet, so it can't know that a route is missing.
+    /// The node has no configuration yet, so it can't tell that a route is missing.
     NoConfig,
     /// The configuration has no such route.
     NoRoute,
-    /// The body broke off.
+    /// The body was cut off.
     BrokenBody,
     /// The body is larger than clients may send.
     LargeBody,
 }
 
 impl Rejection {
-    /// Returns what the client hears.
+    /// Returns the response to the client.
     pub(super) fn response(self) -> Response<Bytes> {
         match self {
             Self::NoConfig => not_run_response(RETRY_AFTER_NO_CONFIG),
@@ -55,15 +56,16 @@
     }
 }
 
-/// Is a request that is ready to be placed.
+/// A request that is ready to be sent to a node.
 pub(super) struct IncomingRequest {
     pub(super) job: Job,
     pub(super) route: Arc<Route>,
-    /// When the answer is due: the route's time is over then, or the client's patience.
+    /// When the response is due: at the end of the route's timeout or of the client's, whichever is
+    /// earlier.
     pub(super) deadline: Moment,
 }
 
-/// Reads the head of a request and finds its route.
+/// Finds the route of a request by its host and path.
 pub(super) fn find_route(view: &NodeView, parts: &Parts) -> Result<Arc<Route>, Rejection> {
     let routes = view.routes.as_ref().ok_or(Rejection::NoConfig)?;
     let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
@@ -72,7 +74,8 @@
     route.ok_or(Rejection::NoRoute)
 }
 
-/// Reads a body whole, up to the configured size. A client that goes away leaves nothing to answer.
+/// Reads the whole body, up to the configured size. If the client disconnects, no response is
+/// needed.
 pub(super) async fn read_body<B>(mut body: B, config: &RoutingConfig) -> Result<Bytes, Rejection>
 where
     B: Body<Data = Bytes> + Unpin,
@@ -91,7 +94,7 @@
     Ok(read.freeze())
 }
 
-/// Makes a job of a whole request.
+/// Makes a job of a request whose body was read.
 pub(super) fn build(
     arrived: Moment,
     parts: Parts,
@@ -104,7 +107,7 @@
     let mut headers = parts.headers;
     strip_connection_headers(&mut headers);
     let timeout = client_headers.timeout.unwrap_or(DEFAULT_CLIENT_TIMEOUT);
-    let mut deadline = arrived + timeout.saturating_sub(RETURN_TIME);
+    let mut deadline = arrived + timeout.saturating_sub(RESPONSE_TRANSIT);
     if let Some(timeout) = route.timeout {
         deadline = deadline.min(arrived + timeout);
     }
--- a/crates/rack/src/traffic/ingress/ingress_node.rs
+++ b/crates/rack/src/traffic/ingress/ingress_node.rs
@@ -1,4 +1,4 @@
-//! Placing requests, and trying again.
+//! Sends requests to nodes, and retries them.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -44,12 +44,12 @@
 use crate::traffic::wire::ActiveCounter;
 use crate::traffic::wire::LinkPacer;
 
-/// How long after a look at the table the next one follows while a key has no owner.
+/// Interval between lookups of the owner of a key that has none.
 const OWNER_POLL_INTERVAL: Duration = Duration::from_millis(40);
-/// The time that an attempt needs at least to be worth making.
+/// The least time until the deadline for which an attempt is made.
 pub(super) const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(20);
 
-/// Places the requests that begin on this host.
+/// Sends the requests that enter at this host to the nodes that serve them.
 pub(in crate::traffic) struct Ingress {
     pub(super) node_name: NodeName,
     pub(super) settings: HostSettings,
@@ -88,7 +88,7 @@
         })
     }
 
-    /// Returns how many requests are being worked on.
+    /// Returns how many requests are in progress.
     pub(in crate::traffic) fn running_count(&self) -> usize {
         self.running.count()
     }
@@ -126,7 +126,7 @@
             return not_run_response(retry_after);
         }
         let mut response = tokio::select! {
-            response = self.place(&incoming) => response,
+            response = self.dispatch(&incoming) => response,
             () = self.wait_shutdown_deadline() => {
                 self.log_unserved(&incoming, "node_ends", StatusCode::BAD_GATEWAY, 0);
                 empty_response(StatusCode::BAD_GATEWAY)
@@ -142,7 +142,7 @@
         response
     }
 
-    /// Tells whether a request may run more than once.
+    /// Returns whether a request may run more than once.
     pub(super) fn is_repeatable(&self, parts: &Parts) -> bool {
         let route = incoming_request::find_route(&self.board.view(), parts);
         route.is_ok_and(|route| route.kind.is_repeatable())
@@ -155,7 +155,7 @@
             1 => 0,
             _ => round_robin.next_index(&route.services),
         };
-        // A route names one service at least, and the index is that of one of them.
+        // A route names at least one service, and the index is that of one of them.
         let entry = route.services.get(index).or_else(|| route.services.first());
         entry.map_or_else(
             || self.settings.service.clone(),
@@ -175,7 +175,7 @@
         operation(budget, clock::now())
     }
 
-    async fn place(&self, incoming: &IncomingRequest) -> Response<Bytes> {
+    async fn dispatch(&self, incoming: &IncomingRequest) -> Response<Bytes> {
         let job = &incoming.job;
         let mut attempts = Attempts::new();
         loop {
@@ -212,7 +212,7 @@
         self.final_response(incoming, attempts)
     }
 
-    /// Waits a little for a key's next owner; tells whether it is worth looking again.
+    /// Waits briefly for the next owner of a key; returns whether to look it up again.
     pub(super) async fn wait_for_owner(&self, job: &Job, attempts: &mut Attempts) -> bool {
         let Some(key) = job.key else {
             return false;
@@ -232,7 +232,7 @@
             return false;
         }
         attempts.hints_followed = 0;
-        // Either the table changes, or the same look is repeated a little later.
+        // Looks the owner up again when the table has changed, or after the interval.
         tokio::time::timeout(OWNER_POLL_INTERVAL, self.board.changed())
             .await
             .ok();
--- a/crates/rack/src/traffic/ingress/mod.rs
+++ b/crates/rack/src/traffic/ingress/mod.rs
@@ -1,4 +1,5 @@
-//! From clients on the host, and from its backend server's own calls, to the node that serves them.
+//! Routes the requests of clients on the host, and the calls of its backend server, to the node
+//! that serves them.
 
 mod attempts;
 mod client_port;
--- a/crates/rack/src/traffic/ingress/pipeline.rs
+++ b/crates/rack/src/traffic/ingress/pipeline.rs
@@ -1,4 +1,4 @@
-//! Requests that a client sends before the one before them is answered.
+//! Starts pipelined requests, which a client sends before the one before them is answered.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -21,32 +21,33 @@
 use crate::traffic::wire::RequestScanner;
 use crate::traffic::wire::ScannedHead;
 
-/// How many requests of one connection are worked on at once: clients send a few behind one another,
-/// and more would let one connection take what others wait for.
+/// How many requests of one connection are started early: clients pipeline a few, and more would
+/// let one connection take the capacity that others wait for.
 const MAX_EARLY_REQUESTS: usize = 8;
-/// How often a head that takes too long is looked at while an answer before it is on its way.
+/// How often an overdue head is checked again while an earlier response is in progress.
 const SLOW_HEAD_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Begins the requests of one connection as they come, while the HTTP library answers them one after
-/// the other, in their order.
+/// Starts the requests of one connection as they arrive, while the HTTP library answers them one
+/// after another, in their order.
 ///
-/// Without this a client's second request would wait for the answer to its first, for a work time or
-/// more, though a server is free: with work of 0.5 s and objectives of 1.2 s half of them came late.
+/// Without this a client's second request would wait for the response to its first, for a service
+/// time or more, although a server is free: with a service time of 0.5 s and objectives of 1.2 s
+/// half of them were late.
 pub(super) struct Pipeline {
     ingress: Rc<Ingress>,
     scanner: RefCell<RequestScanner>,
     early_requests: RefCell<BTreeMap<u64, EarlyRequest>>,
-    /// How many requests the library has passed on.
+    /// How many requests the HTTP library has passed on.
     received: Cell<u64>,
     first_received: Notify,
-    /// How many of them are answered.
+    /// How many of them have been answered.
     answered: Cell<u64>,
-    /// The place of the request whose head has begun and not ended, and since when.
+    /// The number of the request whose head was received in part, and when it began.
     partial_head: Cell<Option<(u64, Moment)>>,
     head_started: Notify,
 }
 
-/// Is a request that was begun ahead of its turn; dropped, it is given up, also at its server.
+/// A request that was started early; dropping it cancels it, also at its server.
 struct EarlyRequest {
     parts: Parts,
     response: JoinHandle<Response<Bytes>>,
@@ -72,7 +73,7 @@
         })
     }
 
-    /// Looks at what the client sent, before the library does.
+    /// Scans what the client sent before the HTTP library reads it.
     pub(super) fn scan(&self, bytes: &[u8]) {
         let heads = self.scanner.borrow_mut().scan(bytes);
         self.track_head();
@@ -91,19 +92,19 @@
         }
     }
 
-    /// Waits until the library has passed on the first request.
+    /// Waits until the HTTP library has passed on the first request.
     pub(super) async fn wait_first_request(&self) {
         if self.received.get() == 0 {
             self.first_received.notified().await;
         }
     }
 
-    /// Waits until the client has taken longer than `limit` for one head, and nothing before it is
-    /// still to be answered.
+    /// Waits until the client has taken longer than `limit` for one head and every earlier request
+    /// is answered.
     ///
-    /// The HTTP library has one timer for a head and for the rest between two requests. By that alone a
-    /// client that sends a byte now and then would hold its connection for the idle time, again and
-    /// again for each head, and enough of them would use up the descriptors.
+    /// The HTTP library has one timer for a head and for the idle time between two requests. With
+    /// that timer alone a client that sends a byte now and then could hold its connection for the
+    /// idle time, again for each head, and enough such clients would use up the file descriptors.
     pub(super) async fn wait_slow_head(&self, limit: Duration) {
         loop {
             let Some((_, since)) = self.partial_head.get() else {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Answers the next request that the library has read.
+    /// Responds to the next request that the HTTP library has read.
     pub(super) async fn respond(&self, request: Request<Incoming>) -> Response<Bytes> {
         let number = self.received.get();
         self.received.set(number + 1);
@@ -130,7 +131,7 @@
         let response = match early {
             Some(mut early) if is_same(&early.parts, &parts) => (&mut early.response).await.ok(),
             Some(_) => {
-                // The library reads these bytes differently, and it decides.
+                // The HTTP library parsed these bytes differently, and its result takes precedence.
                 self.scanner.borrow_mut().stop();
                 self.early_requests.borrow_mut().clear();
                 None
@@ -145,8 +146,9 @@
         response
     }
 
-    /// Begins a request that would have to wait for the answers before it. Only work that may be
-    /// repeated: the client sends again what stood behind an answer that closes the connection.
+    /// Starts a request that would have to wait for earlier responses. Only requests that may be
+    /// repeated are started: after a response that closes the connection, the client sends the
+    /// requests behind it again.
     fn start_early(&self, head: ScannedHead) {
         let must_wait = head.number > self.answered.get();
         let has_room = self.early_requests.borrow().len() < MAX_EARLY_REQUESTS;
--- a/crates/rack/src/traffic/ingress/placement.rs
+++ b/crates/rack/src/traffic/ingress/placement.rs
@@ -1,4 +1,4 @@
-//! Where a job goes next.
+//! Chooses the node for the next attempt of a job.
 
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -14,24 +14,25 @@
 use crate::traffic::hop::HopClient;
 use crate::traffic::job::Job;
 
-/// How soon a node that is reached though the leader does not hear it is tried again.
+/// How soon a node is probed again that accepts connections although the leader receives no
+/// heartbeats from it.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How many connections in a row must fail to open: a busy host whose queue of connections is full drops
-/// an opening packet, and still answers what it works on.
+/// How many connections in a row must fail to open: a busy host whose accept queue is full drops
+/// SYN packets and still responds to the requests it works on.
 const MAX_FAILED_PROBES: u32 = 2;
 
-/// Says where a job can go.
+/// Where a job can be sent.
 pub(super) enum Placement {
     /// To this node.
     Node(NodeName),
-    /// Its key has no owner now.
+    /// The key has no owner now.
     NoOwner,
     /// No node is left to try.
     NoNode,
 }
 
-/// Chooses the next node for a job.
+/// Chooses the node for the next attempt of a job.
 pub(super) fn choose_node(
     now: Moment,
     view: &NodeView,
@@ -40,9 +41,9 @@
     tried_nodes: &[NodeName],
 ) -> Placement {
     let config = view.intent.config.as_ref();
-    let keyed = config.and_then(|config| config.services.get(&job.service));
+    let service = config.and_then(|config| config.services.get(&job.service));
     match job.key {
-        Some(key) if keyed.is_some_and(|service| service.keyed) => {
+        Some(key) if service.is_some_and(|service| service.keyed) => {
             match view.directory.owner(&job.service, key) {
                 Some(owner) => Placement::Node(owner.clone()),
                 None => Placement::NoOwner,
@@ -57,10 +58,10 @@
     }
 }
 
-/// Waits until a node is surely out of reach; what was sent there has no answer to come.
+/// Waits until a node is unreachable, so that no response is to be expected from it.
 ///
-/// That the leader does not hear it is a hint only: beats are lost, and leaders change. A request
-/// that was given up for the hint alone would be cut while its server works on it.
+/// Missing heartbeats at the leader are a hint only: heartbeats are lost, and leaders change. A
+/// request that was given up for the hint alone would be cut off while its server works on it.
 pub(super) async fn wait_unreachable(board: &Arc<Board>, hops: &HopClient, node: &NodeName) {
     let mut failed_probes = 0;
     loop {
--- a/crates/rack/src/traffic/ingress/retrying.rs
+++ b/crates/rack/src/traffic/ingress/retrying.rs
@@ -1,4 +1,4 @@
-//! What follows from an attempt: another one, or the final answer.
+//! Decides after each attempt whether to retry, and makes the final response.
 
 use bytes::Bytes;
 use http::Response;
@@ -19,16 +19,16 @@
 use crate::traffic::outcome::AttemptReport;
 use crate::traffic::outcome::Outcome;
 
-/// How many nodes are asked for one job: each refusal costs a way to and fro, and after three the
-/// service is full everywhere.
+/// How many nodes are tried for one job: each refusal costs a round trip, and after three refusals
+/// the service is full everywhere.
 const MAX_TRIED_NODES: usize = 4;
 
-/// How many words of refusing nodes are followed one after the other: two nodes with old tables could
-/// name each other for ever.
+/// How many owner hints of refusing nodes are followed in a row: two nodes with outdated tables
+/// could name each other forever.
 const MAX_OWNER_HINTS: u32 = 2;
 
 impl Ingress {
-    /// Learns from an attempt; tells whether another one is to follow.
+    /// Records the report of an attempt; returns whether to make another attempt.
     pub(super) async fn handle_report(
         &self,
         incoming: &IncomingRequest,
@@ -42,7 +42,7 @@
             Outcome::Answered(response) => {
                 self.count_sent(job, attempts);
                 let failed = response.status().is_server_error();
-                attempts.failed_response = Some(response);
+                attempts.response = Some(response);
                 failed && repeatable && self.start_retry(incoming, attempts, node, "server_failed")
             }
             Outcome::Lost(lost) => {
@@ -66,7 +66,7 @@
                     if self.follow_owner_hint(attempts, &node, report.owner) {
                         return true;
                     }
-                    // The table is behind; the owner of the key is known soon.
+                    // This node's table is outdated; it will know the owner of the key soon.
                     return self.wait_for_owner(job, attempts).await;
                 }
                 attempts.tried_nodes.push(node);
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Takes the owner that a refusing node names for the next one to try, if it knows more than this node.
+    /// Tries the owner that a refusing node names next if that node's table is newer than this
+    /// node's.
     fn follow_owner_hint(
         &self,
         attempts: &mut Attempts,
@@ -94,7 +95,7 @@
         attempts.hinted_owner.is_some()
     }
 
-    /// Counts an attempt that has reached a server.
+    /// Counts an attempt that reached a server.
     fn count_sent(&self, job: &Job, attempts: &mut Attempts) {
         attempts.sent_count += 1;
         if attempts.sent_count == 1 {
@@ -102,7 +103,8 @@
         }
     }
 
-    /// Takes a second attempt out of the budget, if the route, the time and the budget allow one.
+    /// Withdraws a retry from the budget and returns whether the route, the time left and the
+    /// budget allow it.
     fn start_retry(
         &self,
         incoming: &IncomingRequest,
@@ -129,13 +131,13 @@
         true
     }
 
-    /// Gives the final answer, at once.
+    /// Makes the final response without waiting any longer.
     pub(super) fn final_response(
         &self,
         incoming: &IncomingRequest,
         attempts: Attempts,
     ) -> Response<Bytes> {
-        if let Some(response) = attempts.failed_response {
+        if let Some(response) = attempts.response {
             if !response.status().is_success() {
                 self.log_unserved(
                     incoming,
@@ -147,7 +149,7 @@
             return response;
         }
         let (reason, retry_after) = attempts.last_refusal;
-        // Only a request that no server can have run is refused with a promise.
+        // Only a request that no server can have run gets the response that promises so.
         let (why, response) = match attempts.lost {
             Some(lost) if lost.is_timeout() => {
                 (lost.name(), empty_response(StatusCode::GATEWAY_TIMEOUT))
