--- a/crates/rack/src/traffic/job.rs
+++ b/crates/rack/src/traffic/job.rs
@@ -1,4 +1,4 @@
-//! A request on its way to a backend server.
+//! A request that is sent to a backend server.
 
 use bytes::Bytes;
 use http::HeaderMap;
@@ -10,39 +10,35 @@
 use quetzalrack_core::time::Moment;
 use quetzalrack_mesh::model::RequestKind;
 
-/// Is a whole request with what its route says of it.
+/// A request, read to its end, together with the settings of its route.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
-    /// The method.
     pub(super) method: Method,
-    /// The path and query.
     pub(super) uri: Uri,
-    /// The headers as the client sent them, but for those of its connection.
+    /// The headers as the client sent them, without the hop-by-hop headers.
     pub(super) headers: HeaderMap,
-    /// The body.
     pub(super) body: Bytes,
-    /// The attempt's id.
+    /// The id that the client sent for this attempt.
     pub(super) id: Option<HeaderValue>,
-    /// The key, if the service is divided by key.
+    /// The sharding key, if the service is divided by key.
     pub(super) key: Option<u16>,
-    /// The service that is to run it.
+    /// The service that is to handle the request.
     pub(super) service: ServiceName,
-    /// The service of the host on which it began.
+    /// The service of the host where the request entered.
     pub(super) caller: ServiceName,
-    /// Its route.
     pub(super) route: RouteName,
-    /// Its rank.
+    /// The priority of its route; 0 is the most urgent.
     pub(super) rank: u32,
     /// Whether it may run more than once.
     pub(super) kind: RequestKind,
-    /// Until when its answer is worth most.
+    /// The latest time at which a response still meets the route's objective.
     pub(super) objective: Moment,
-    /// Until when an answer is of use.
+    /// The latest time at which a response is still of use.
     pub(super) deadline: Moment,
 }
 
 impl Job {
-    /// Returns the attempt's id as text, for the log.
+    /// Returns the attempt's id for the log; "none" if the client sent none.
     pub(super) fn log_id(&self) -> &str {
         self.id
             .as_ref()
--- a/crates/rack/src/traffic/mod.rs
+++ b/crates/rack/src/traffic/mod.rs
@@ -1,4 +1,5 @@
-//! Requests: from clients to the node that serves them, and from there to its backend server.
+//! Carries requests from clients to the node that serves them, and from there to its backend
+//! server.
 
 mod egress;
 mod hop;
--- a/crates/rack/src/traffic/outcome.rs
+++ b/crates/rack/src/traffic/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of a request at a node.
+//! The outcome of sending a request to a node.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,39 +9,39 @@
 use quetzalrack_mesh::traffic::OwnerHint;
 use quetzalrack_mesh::traffic::RefusalReason;
 
-/// Says why a request that was sent to a backend server has no answer.
+/// Why a request that was sent to a backend server has no valid response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LostReason {
-    /// The connection broke, or the answer did.
+    /// The connection broke before the whole response was received.
     Broken,
-    /// The answer was not this request's, or no server's.
+    /// The response belongs to another request or does not come from a backend server.
     Foreign,
-    /// No answer came in time.
+    /// No response was received before the deadline.
     TimedOut,
 }
 
-/// Is the outcome of one attempt at one node.
+/// The outcome of one attempt at one node.
 #[derive(Clone, Debug)]
 pub(super) enum Outcome {
-    /// The backend server answered, whatever it said.
+    /// The backend server responded, with any status.
     Answered(Response<Bytes>),
-    /// It surely did not run; there may be room after the time.
+    /// The request was certainly not run; it may be retried after the given time.
     NotRun(RefusalReason, Duration),
-    /// It may have run.
+    /// The request may have run.
     Lost(LostReason),
 }
 
-/// Is an outcome with what the node told along with it.
+/// An outcome, with the load and the owner of the key that the node reported.
 #[derive(Clone, Debug)]
 pub(super) struct AttemptReport {
     pub(super) outcome: Outcome,
     pub(super) load: Option<NodeLoad>,
-    /// Who owns the key by the table of the node that refused.
+    /// The owner of the key according to the table of the node that refused the request.
     pub(super) owner: Option<OwnerHint>,
 }
 
 impl AttemptReport {
-    /// Makes a report of a node that told nothing else.
+    /// Makes a report without load or owner.
     pub(super) fn new(outcome: Outcome) -> Self {
         Self {
             outcome,
--- a/crates/rack/src/traffic/traffic_node.rs
+++ b/crates/rack/src/traffic/traffic_node.rs
@@ -1,4 +1,4 @@
-//! The thread that carries traffic.
+//! The thread that handles requests.
 
 use std::io;
 use std::net::SocketAddr;
@@ -23,30 +23,32 @@
 use crate::metrics::serve_metrics;
 use crate::shared::Board;
 
-/// How often the load is counted for the control thread, which sends it on with its beats.
+/// Interval between load reports to the control thread, which sends them with its heartbeats.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// How long clients still come after SIGTERM: the platform asks once a second and takes two misses.
+/// How long new client connections are accepted after SIGTERM: the platform checks readiness once a
+/// second and needs two failed checks.
 pub(super) const CLIENT_DRAIN_TIME: Duration = Duration::from_millis(2_300);
-/// How long other nodes still send jobs after that; they learn within a beat that this one leaves.
+/// How long after that requests of peers are accepted; peers learn within one heartbeat that this
+/// node is leaving.
 const PEER_DRAIN_TIME: Duration = Duration::from_millis(500);
-/// How much of the time until SIGKILL is left unused.
+/// Time that is left unused before SIGKILL.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(400);
-/// How often a leaving process looks whether its work is done.
+/// How often a process that shuts down checks whether all requests are finished.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Is what the traffic thread needs.
+/// The settings of the traffic thread.
 pub struct TrafficSettings {
-    /// The host.
+    /// The host's settings.
     pub host: HostSettings,
-    /// Where other nodes send jobs.
+    /// The address at which peers send requests.
     pub peers: SocketAddr,
-    /// Where metrics are served, if anywhere.
+    /// The address of the metrics page, if it is served.
     pub metrics: Option<SocketAddr>,
-    /// Seeds choices.
+    /// Seed of the load balancer.
     pub seed: u64,
 }
 
-/// Carries traffic on the thread that runs it.
+/// Accepts, routes and serves requests on the thread that runs it.
 pub struct TrafficNode {
     settings: TrafficSettings,
     board: Arc<Board>,
@@ -54,7 +56,7 @@
 }
 
 impl TrafficNode {
-    /// Makes the traffic side of a node.
+    /// Makes a traffic node that is not running yet.
     pub fn new(settings: TrafficSettings, board: Arc<Board>, metrics: Arc<Metrics>) -> Self {
         Self {
             settings,
@@ -63,7 +65,8 @@
         }
     }
 
-    /// Serves until the process was told to leave and its work is done.
+    /// Serves requests until the process is told to leave and every accepted request is finished,
+    /// or the time to finish them is over.
     pub fn run(self) -> io::Result<()> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -82,7 +85,7 @@
                     listener,
                     Arc::clone(&self.metrics),
                 ))),
-                // A node without its page serves all the same.
+                // The node serves requests without the metrics page too.
                 Err(error) => log::error!(event = "no_metrics_page"; "{error}"),
             }
         }
@@ -139,7 +142,8 @@
         Ok(())
     }
 
-    /// Finishes everything: clients go first, then other nodes, and nothing is cut.
+    /// Finishes the accepted requests: first stops serving clients, then peers, without cutting a
+    /// connection in use.
     async fn shut_down(&self, shutdown: &Shutdown) {
         let since = clock::now();
         let end = since
@@ -150,19 +154,20 @@
                 .shutdown_grace
                 .saturating_sub(SHUTDOWN_MARGIN);
         wait_until(since + CLIENT_DRAIN_TIME).await;
-        // Nobody listens if every connection has ended.
+        // Sending fails only if every connection has ended.
         shutdown.close_clients.send(true).ok();
         wait_until(since + CLIENT_DRAIN_TIME + PEER_DRAIN_TIME).await;
         shutdown.egress.close();
         while clock::now() < end && shutdown.is_busy() {
             tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
         }
-        // Whoever connects from now on is told that nobody listens, and not cut in the middle.
+        // From now on new connections are refused; none is accepted and then cut.
         shutdown.stop_accepting.send(true).ok();
-        // Answers to other nodes may still wait for the link: their connections end after them.
+        // Responses to peers may still wait for the link; each connection is closed after its
+        // response.
         shutdown.close_peers.send(true).ok();
         loop {
-            // What was accepted last counts only once it has run for the first time.
+            // A connection that was accepted last is counted only after its task has first run.
             tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
             let busy = shutdown.is_busy() || shutdown.peer_connections.count() > 0;
             if !busy || clock::now() >= end {
@@ -177,12 +182,12 @@
     }
 }
 
-/// Is what is still to be finished by a process that leaves.
+/// What a process that shuts down has to finish, and the signals that end it.
 struct Shutdown {
     egress: Rc<Egress>,
     ingress: Rc<Ingress>,
     close_clients: watch::Sender<bool>,
-    /// Turns true when no more clients are accepted.
+    /// Sends true when no more client connections are to be accepted.
     stop_accepting: watch::Sender<bool>,
     client_connections: ActiveCounter,
     close_peers: watch::Sender<bool>,
@@ -190,7 +195,7 @@
 }
 
 impl Shutdown {
-    /// Tells whether requests are worked on, or answers to clients written.
+    /// Returns whether requests are in progress or client connections are open.
     fn is_busy(&self) -> bool {
         self.ingress.running_count() > 0
             || self.egress.running_count() > 0
