--- a/crates/rack/src/traffic/egress/server_client.rs
+++ b/crates/rack/src/traffic/egress/server_client.rs
@@ -37,14 +37,14 @@
     idle_timeout: Duration::from_secs(3),
     max_idle: 32,
 };
-/// How long a connection may have been idle to be used for work that may run only once: if the
-/// server closes it at that moment, it is unknown whether the work has run.
+/// How long a connection may have been idle to be used for a request that may run only once: if the
+/// server closes it at that moment, it is unknown whether the request has run.
 const MAX_IDLE_ONCE: Duration = Duration::from_millis(1_000);
 /// When a caller may retry if the server did not accept a connection or refused the request.
 const RETRY_AFTER_REFUSAL: Duration = Duration::from_millis(400);
-/// For how long work that may run only once is sent over new connections after a response that
-/// belonged to another request: on a kept connection the next such response could be taken for its
-/// own.
+/// For how long requests that may run only once are sent over new connections after a response that
+/// belonged to another request: on a kept connection the next such response could be taken for
+/// theirs.
 const DISTRUST_PERIOD: Duration = Duration::from_secs(8);
 
 /// Sends requests to the backend server and classifies its responses.
