--- a/crates/rack/src/lib.rs
+++ b/crates/rack/src/lib.rs
@@ -1,7 +1,7 @@
 //! The node on the users' platform: ingress and egress for requests, and the lease holder of the
 //! backend server beside it.
 //!
-//! One thread runs the control state machine, another carries traffic; they share immutable views.
+//! One thread runs the control state machine, another handles traffic; they share immutable views.
 //! See `docs/design/platform.md`.
 
 mod accept;
--- a/crates/rack/src/shared/board.rs
+++ b/crates/rack/src/shared/board.rs
@@ -1,4 +1,4 @@
-//! Where the two threads leave their news.
+//! Latest state published by the control thread and the traffic thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,55 +13,55 @@
 use super::NodeView;
 use super::TrafficReport;
 
-/// Holds the newest view and the newest report, read without locks.
+/// Holds the latest view and report, which are read without locks.
 #[derive(Debug, Default)]
 pub struct Board {
     view: ArcSwap<NodeView>,
     changed: Notify,
     report: ArcSwap<TrafficReport>,
     intent_source: ArcSwapOption<SocketAddr>,
-    /// Since when the process leaves, in nanoseconds of the clock; 0 while it does not.
+    /// When the shutdown started, in nanoseconds of the clock; 0 before a shutdown.
     shutdown_ns: AtomicU64,
 }
 
 impl Board {
-    /// Returns the newest view.
+    /// Returns the latest view.
     pub fn view(&self) -> Arc<NodeView> {
         self.view.load_full()
     }
 
-    /// Replaces the view and wakes those who wait for a change.
+    /// Replaces the view and wakes the tasks that wait for a change.
     pub fn publish(&self, view: NodeView) {
         self.view.store(Arc::new(view));
         self.changed.notify_waiters();
     }
 
-    /// Waits for the next view.
+    /// Waits until a new view is published.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// Returns the newest report.
+    /// Returns the latest traffic report.
     pub fn report(&self) -> Arc<TrafficReport> {
         self.report.load_full()
     }
 
-    /// Replaces the report.
+    /// Replaces the traffic report.
     pub fn set_report(&self, report: TrafficReport) {
         self.report.store(Arc::new(report));
     }
 
-    /// Takes the address of a node that knows the operators' document, if one has told it.
+    /// Takes the address of a peer that has the operators' document, if a peer has offered it.
     pub fn take_intent_source(&self) -> Option<SocketAddr> {
         self.intent_source.swap(None).as_deref().copied()
     }
 
-    /// Notes the address of a node that knows the operators' document.
+    /// Records the address of a peer that has the operators' document.
     pub fn set_intent_source(&self, intent_source: SocketAddr) {
         self.intent_source.store(Some(Arc::new(intent_source)));
     }
 
-    /// Tells the traffic that the process leaves from now on; told again, it leaves since the first time.
+    /// Marks the process as shutting down; later calls keep the time of the first one.
     pub fn start_shutdown(&self, now: Moment) {
         let first =
             self.shutdown_ns
@@ -71,14 +71,14 @@
         }
     }
 
-    /// Tells whether the process leaves.
+    /// Returns whether the process is shutting down.
     pub fn is_shutting_down(&self) -> bool {
         self.shutdown_start().is_some()
     }
 
-    /// Returns since when the process leaves.
+    /// Returns when the shutdown started.
     pub fn shutdown_start(&self) -> Option<Moment> {
-        let since = self.shutdown_ns.load(Ordering::Acquire);
-        (since > 0).then_some(Moment(since))
+        let start_ns = self.shutdown_ns.load(Ordering::Acquire);
+        (start_ns > 0).then_some(Moment(start_ns))
     }
 }
--- a/crates/rack/src/shared/mod.rs
+++ b/crates/rack/src/shared/mod.rs
@@ -1,4 +1,4 @@
-//! What the control thread and the traffic thread tell each other.
+//! State that the control thread and the traffic thread exchange.
 
 mod board;
 mod node_view;
--- a/crates/rack/src/shared/node_view.rs
+++ b/crates/rack/src/shared/node_view.rs
@@ -1,4 +1,4 @@
-//! Everything that traffic reads of the control's state.
+//! View of the control state for the traffic thread.
 
 use std::sync::Arc;
 
@@ -9,18 +9,18 @@
 
 use super::ServerView;
 
-/// Is an immutable view of the control's state; a new one replaces it whole.
+/// Immutable view of the control state; each change replaces the whole view.
 #[derive(Clone, Debug, Default)]
 pub struct NodeView {
     /// All nodes and owners.
     pub directory: Arc<Directory>,
     /// The operators' intent.
     pub intent: Arc<OperatorsIntent>,
-    /// Up to when that holds all that was acknowledged, as far as known.
+    /// The intent is known to contain every change acknowledged up to this moment.
     pub confirmed: Moment,
-    /// Its routes; none until a configuration is known.
+    /// Routes of the intent's configuration; none until a configuration is known.
     pub routes: Option<Arc<RouteTable>>,
-    /// The backend server beside the node, if there is one to use.
+    /// The backend server beside the node, if one is usable.
     pub server: Option<ServerView>,
     /// Whether the node is shutting down.
     pub shutting_down: bool,
--- a/crates/rack/src/shared/server_view.rs
+++ b/crates/rack/src/shared/server_view.rs
@@ -1,4 +1,4 @@
-//! The backend server beside the node, as traffic must know it.
+//! View of the backend server beside the node for the traffic thread.
 
 use std::net::SocketAddr;
 
@@ -9,24 +9,24 @@
 /// Describes the backend server beside the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerView {
-    /// Which life of which server.
+    /// The server and its incarnation.
     pub incarnation: ServerIncarnation,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// How many requests it works on at once.
+    /// Number of requests that it executes at once.
     pub slots: usize,
-    /// Whether it has announced that it will leave.
+    /// Whether it has announced its shutdown.
     pub draining: bool,
-    /// When its newest heartbeat was heard.
+    /// When its latest heartbeat was received.
     pub heartbeat_at: Moment,
-    /// Until when it is cold.
+    /// End of its cold start.
     pub cold_until: Moment,
-    /// The keys that it holds, each with the end of its grant.
+    /// Key ranges that it holds, each with the end of its grant.
     pub serving: Vec<(HeldRange, Moment)>,
 }
 
 impl ServerView {
-    /// Tells whether the server holds a key now.
+    /// Returns whether the server holds a key now.
     pub fn holds(&self, now: Moment, key: u16) -> bool {
         let mut serving = self.serving.iter();
         serving.any(|(held, until)| held.keys.contains(key) && now < *until)
--- a/crates/rack/src/shared/traffic_report.rs
+++ b/crates/rack/src/shared/traffic_report.rs
@@ -1,15 +1,15 @@
-//! What traffic counts for the control thread.
+//! Traffic statistics for the control thread.
 
 use quetzalrack_mesh::ownership::KeyLoad;
 use quetzalrack_mesh::ownership::NodeLoad;
 
-/// Is one count.
+/// Load measured by the traffic thread.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TrafficReport {
     /// The load of the backend server.
     pub load: NodeLoad,
-    /// The load of its keys.
+    /// The load of each of its key ranges.
     pub key_loads: Vec<KeyLoad>,
-    /// Whether its port takes no connections.
+    /// Whether the server's port refuses connections.
     pub server_gone: bool,
 }
