--- a/crates/rack/src/command/mod.rs
+++ b/crates/rack/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The command line of `quetzalrack-rack`, and its signals.
+//! Command line of `quetzalrack-rack` and handling of its signals.
 
 mod rack_command;
 mod settings_watch;
--- a/crates/rack/src/command/rack_command.rs
+++ b/crates/rack/src/command/rack_command.rs
@@ -19,15 +19,15 @@
 use crate::node::NodeOptions;
 use crate::node::RunningNode;
 
-/// The exit status for settings that can't be used, before anything was bound.
-const BAD_SETTINGS: u8 = 2;
-/// How often the main thread looks whether the node has ended.
-const LOOK: Duration = Duration::from_millis(50);
-/// How often the settings file is looked at without being told: it may change without a signal, and an
-/// engineer who changed it should find that in the log within a few seconds.
-const REREAD: Duration = Duration::from_secs(5);
+/// Exit status for invalid settings, before any port is bound.
+const INVALID_SETTINGS_STATUS: u8 = 2;
+/// Interval at which the main thread checks whether the node has stopped.
+const NODE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which the settings file is read without a signal, so that a change of the file shows in
+/// the log within a few seconds.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Is the process beside one backend server, on the users' platform.
+/// Runs the node beside one backend server on the users' platform.
 #[derive(Debug)]
 #[derive(Parser)]
 #[command(name = "quetzalrack-rack", version, about)]
@@ -41,21 +41,21 @@
     /// The port of the metrics page
     #[arg(long)]
     metrics: Option<u16>,
-    /// Listen for other nodes here; they are told the address of the settings, which must lead here
+    /// Address to listen on for other nodes; they are given the address in the settings, which must reach it
     #[arg(long)]
     peers: Option<SocketAddr>,
 }
 
 impl RackCommand {
-    /// Runs the node until it is told to leave.
+    /// Runs the node until it is told to shut down.
     pub fn run(&self) -> ExitCode {
         let path = match self.settings.clone().map_or_else(settings_path, Ok) {
             Ok(path) => path,
-            Err(error) => return fail(&Report::msg(error), BAD_SETTINGS),
+            Err(error) => return fail(&Report::msg(error), INVALID_SETTINGS_STATUS),
         };
         let host = match read_settings(&path) {
             Ok(host) => host,
-            Err(error) => return fail(&Report::msg(error), BAD_SETTINGS),
+            Err(error) => return fail(&Report::msg(error), INVALID_SETTINGS_STATUS),
         };
         if self.check {
             return ExitCode::SUCCESS;
@@ -81,39 +81,39 @@
             metrics: self.metrics,
             peers: self.peers,
         };
-        let ended = runtime.block_on(follow(host, options, path));
-        match &ended {
+        let result = runtime.block_on(run_node(host, options, path));
+        match &result {
             Ok(()) => log::info!(event = "stop", node = node.as_str(); ""),
             Err(report) => log::error!(event = "stop", node = node.as_str(); "{report}"),
         }
         logger.flush();
-        ended
+        result
     }
 }
 
-/// Starts the node and passes the process's signals on. They are caught before anything listens, so
-/// that none ends the process unasked.
-async fn follow(host: HostSettings, options: NodeOptions, path: PathBuf) -> miette::Result<()> {
+/// Starts the node and handles the process's signals. The handlers are installed before any port
+/// listens, so that no signal terminates the process without a graceful shutdown.
+async fn run_node(host: HostSettings, options: NodeOptions, path: PathBuf) -> miette::Result<()> {
     let mut terminate = signal(SignalKind::terminate()).into_diagnostic()?;
     let mut interrupt = signal(SignalKind::interrupt()).into_diagnostic()?;
     let mut hangup = signal(SignalKind::hangup()).into_diagnostic()?;
     let mut watch = SettingsWatch::new(path, host.clone());
-    let mut reread = tokio::time::interval(REREAD);
-    reread.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut settings_check = tokio::time::interval(SETTINGS_CHECK_INTERVAL);
+    settings_check.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let node = RunningNode::spawn(host, options).into_diagnostic()?;
-    while !node.is_over() {
+    while !node.has_stopped() {
         tokio::select! {
-            _ = terminate.recv() => leave(&node, "SIGTERM"),
-            _ = interrupt.recv() => leave(&node, "SIGINT"),
-            _ = hangup.recv() => watch.told(),
-            _ = reread.tick() => watch.look(),
-            () = tokio::time::sleep(LOOK) => {}
+            _ = terminate.recv() => start_shutdown(&node, "SIGTERM"),
+            _ = interrupt.recv() => start_shutdown(&node, "SIGINT"),
+            _ = hangup.recv() => watch.reload(),
+            _ = settings_check.tick() => watch.check(),
+            () = tokio::time::sleep(NODE_CHECK_INTERVAL) => {}
         }
     }
-    node.end().into_diagnostic()
+    node.result().into_diagnostic()
 }
 
-fn leave(node: &RunningNode, signal: &str) {
+fn start_shutdown(node: &RunningNode, signal: &str) {
     log::info!(event = "leaving", signal = signal; "");
     node.shutdown();
 }
--- a/crates/rack/src/command/settings_watch.rs
+++ b/crates/rack/src/command/settings_watch.rs
@@ -1,62 +1,62 @@
-//! Following the settings file of a running process.
+//! Checking the settings file of a running process for changes.
 
 use std::path::PathBuf;
 
 use quetzalrack_mesh::model::HostSettings;
 use quetzalrack_platform::settings::read_settings;
 
-/// Tells in the log whether the settings file is sound and what differs from what the process runs
-/// with.
+/// Logs whether the settings file is valid and how it differs from the settings of the running
+/// process.
 ///
-/// Addresses and names never change while a process runs, and the operators' intent comes by the
-/// store, so nothing is taken over: a change is in force after the next start.
+/// Addresses and names never change while a process runs, and the operators' intent comes from the
+/// store, so no change is applied: a change takes effect at the next start.
 pub(super) struct SettingsWatch {
     path: PathBuf,
-    started: HostSettings,
-    /// What was last told of the file.
-    told: Option<Finding>,
+    running: HostSettings,
+    /// The last state of the file that was logged.
+    reported: Option<FileState>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Finding {
+enum FileState {
     Same,
     Changed(Box<HostSettings>),
-    Unusable(String),
+    Invalid(String),
 }
 
 impl SettingsWatch {
-    pub(super) fn new(path: PathBuf, started: HostSettings) -> Self {
+    pub(super) fn new(path: PathBuf, running: HostSettings) -> Self {
         Self {
             path,
-            started,
-            told: Some(Finding::Same),
+            running,
+            reported: Some(FileState::Same),
         }
     }
 
-    /// Is told that the file has changed: says what it finds in any case.
-    pub(super) fn told(&mut self) {
-        self.told = None;
-        self.look();
+    /// Reads the file after a reload signal and logs its state, even if the state is unchanged.
+    pub(super) fn reload(&mut self) {
+        self.reported = None;
+        self.check();
     }
 
-    /// Reads the file, and says what it finds if that is new.
-    pub(super) fn look(&mut self) {
-        let finding = match read_settings(&self.path) {
-            Ok(host) if host == self.started => Finding::Same,
-            Ok(host) => Finding::Changed(Box::new(host)),
-            Err(error) => Finding::Unusable(error.to_string()),
+    /// Reads the file and logs its state if that has changed.
+    pub(super) fn check(&mut self) {
+        let state = match read_settings(&self.path) {
+            Ok(host) if host == self.running => FileState::Same,
+            Ok(host) => FileState::Changed(Box::new(host)),
+            Err(error) => FileState::Invalid(error.to_string()),
         };
-        if self.told.as_ref() == Some(&finding) {
+        if self.reported.as_ref() == Some(&state) {
             return;
         }
-        match &finding {
-            Finding::Same => log::info!(event = "reload", changed = false; ""),
-            Finding::Changed(host) => log::warn!(
-                event = "reload", changed = true, fields = host.differences(&self.started).join(",");
-                "in force after the next start"
+        match &state {
+            FileState::Same => log::info!(event = "reload", changed = false; ""),
+            FileState::Changed(host) => log::warn!(
+                event = "reload", changed = true, fields = host.differences(&self.running).join(",");
+                "takes effect at the next start"
             ),
-            Finding::Unusable(error) => log::error!(event = "reload_failed"; "{error}"),
+            FileState::Invalid(error) => log::error!(event = "reload_failed"; "{error}"),
         }
-        self.told = Some(finding);
+        self.reported = Some(state);
     }
 }
--- a/crates/rack/src/node/mod.rs
+++ b/crates/rack/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! A whole node: its threads, its end.
+//! Starting and stopping a node with its threads.
 
 mod node_options;
 mod run_error;
--- a/crates/rack/src/node/node_options.rs
+++ b/crates/rack/src/node/node_options.rs
@@ -1,12 +1,12 @@
-//! What a node is told beside its settings.
+//! Options of a node beside its settings file.
 
 use std::net::SocketAddr;
 
-/// Is what the command line says of a node.
+/// Options from the command line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeOptions {
-    /// The port of its metrics page, if it has one.
+    /// Port of the metrics page, if there is one.
     pub metrics: Option<u16>,
-    /// Where it listens for other nodes, if not at the address that they are told.
+    /// Address on which it listens for peers, if it differs from the advertised one.
     pub peers: Option<SocketAddr>,
 }
--- a/crates/rack/src/node/running_node.rs
+++ b/crates/rack/src/node/running_node.rs
@@ -1,4 +1,4 @@
-//! A node's threads.
+//! The threads of a node.
 
 use std::io;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 use crate::traffic::TrafficNode;
 use crate::traffic::TrafficSettings;
 
-/// Is a running node.
+/// A running node.
 pub struct RunningNode {
     board: Arc<Board>,
     shutdown: mpsc::UnboundedSender<()>,
@@ -40,8 +40,8 @@
         let store = Arc::new(MetadataStore::open(host.store)?);
         let seed: u64 = rand::random();
         let board = Arc::new(Board::default());
-        let page = Arc::new(Metrics::default());
-        let (shutdown, told) = mpsc::unbounded_channel();
+        let metrics = Arc::new(Metrics::default());
+        let (shutdown, shutdown_requests) = mpsc::unbounded_channel();
         let profile = NodeProfile {
             incarnation: NodeIncarnation {
                 node: host.node.clone(),
@@ -62,14 +62,19 @@
             peers,
             store,
         };
-        let control = ControlNode::new(settings, Arc::clone(&board), Arc::clone(&page), told);
+        let control = ControlNode::new(
+            settings,
+            Arc::clone(&board),
+            Arc::clone(&metrics),
+            shutdown_requests,
+        );
         let settings = TrafficSettings {
             metrics: options.metrics.map(|port| SocketAddr::new(host.ip, port)),
             host,
             peers,
             seed,
         };
-        let traffic = TrafficNode::new(settings, Arc::clone(&board), page);
+        let traffic = TrafficNode::new(settings, Arc::clone(&board), metrics);
         Ok(Self {
             board,
             shutdown,
@@ -78,29 +83,29 @@
         })
     }
 
-    /// Tells the node to leave: it finishes what it has.
+    /// Starts a graceful shutdown: the node finishes the requests it has accepted.
     pub fn shutdown(&self) {
         self.board.start_shutdown(clock::now());
-        // A control thread that is gone has nobody left to tell.
+        // Sending fails only if the control thread has ended already.
         self.shutdown.send(()).ok();
     }
 
-    /// Tells whether the node has ended, by being told or by breaking down.
-    pub fn is_over(&self) -> bool {
+    /// Returns whether the node has stopped, by a shutdown or by a failure.
+    pub fn has_stopped(&self) -> bool {
         self.traffic.is_finished() || self.control.is_finished()
     }
 
-    /// Returns how the node ended.
-    pub fn end(self) -> Result<(), RunError> {
+    /// Returns the result of the thread that has stopped.
+    pub fn result(self) -> Result<(), RunError> {
         if self.traffic.is_finished() {
             self.traffic
                 .join()
-                .map_err(|_| RunError::Broken("traffic"))??;
+                .map_err(|_| RunError::Panicked("traffic"))??;
             return Ok(());
         }
         self.control
             .join()
-            .map_err(|_| RunError::Broken("control"))??;
+            .map_err(|_| RunError::Panicked("control"))??;
         Ok(())
     }
 }
