--- a/crates/rack/src/clock/mod.rs
+++ b/crates/rack/src/clock/mod.rs
@@ -4,8 +4,8 @@
 use rustix::time::ClockId;
 use rustix::time::clock_gettime;
 
-/// Reads the clock that counts suspended time: by the steady one, a thawed node would take a lapsed
-/// lease for a valid one.
+/// Reads the clock that counts suspended time. The monotonic clock stops during a suspension, so a
+/// resumed node would take an expired lease for a valid one.
 pub fn now() -> Moment {
     let read = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(read.tv_sec).unwrap_or_default();
