--- a/crates/rack/src/logging/line_writer.rs
+++ b/crates/rack/src/logging/line_writer.rs
@@ -30,15 +30,15 @@
 
 use super::LineLimits;
 
-/// How many lines may wait to be written. A reader of stdout that stands still then costs lines,
-/// never a request.
-const WAITING: usize = 2_048;
-/// How long the end of the process waits for the last lines.
-const FLUSH: Duration = Duration::from_millis(200);
-/// What is logged when `RUST_LOG` says nothing; libraries speak up only for trouble.
-const USUAL_LEVELS: &str = "info, hyper=warn, reqwest=warn";
-
-/// Keeps the log running.
+/// Maximum number of queued lines. If the reader of stdout stalls, lines are dropped and requests
+/// are not delayed.
+const MAX_QUEUED_LINES: usize = 2_048;
+/// How long the process waits at its end until the queued lines are written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+/// Log levels when `RUST_LOG` is not set; libraries log only warnings and errors.
+const DEFAULT_LEVELS: &str = "info, hyper=warn, reqwest=warn";
+
+/// Keeps the logger alive.
 pub struct LogHandle {
     lines: SyncSender<Message>,
     _logger: LoggerHandle,
@@ -56,23 +56,23 @@
     dropped: AtomicU64,
 }
 
-/// Starts the writing thread and makes it the process's log.
+/// Starts the writer thread and installs the process's logger.
 pub fn start_logging() -> Result<LogHandle, FlexiLoggerError> {
-    let (lines, waiting) = sync_channel(WAITING);
+    let (lines, queue) = sync_channel(MAX_QUEUED_LINES);
     let logger = LineLogger {
         lines: lines.clone(),
         limits: Mutex::default(),
         dropped: AtomicU64::default(),
     };
-    let logger = Logger::try_with_env_or_str(USUAL_LEVELS)?
+    let logger = Logger::try_with_env_or_str(DEFAULT_LEVELS)?
         .log_to_writer(Box::new(logger))
         .error_channel(ErrorChannel::DevNull)
         .start()?;
     thread::spawn(move || {
         let mut out = std::io::stdout().lock();
-        while let Ok(message) = waiting.recv() {
+        while let Ok(message) = queue.recv() {
             match message {
-                // A closed pipe has no reader to tell.
+                // A write to a closed pipe can't be reported anywhere.
                 Message::Line(line) => drop(writeln!(out, "{line}")),
                 Message::Flush(done) => drop(done.send(())),
             }
@@ -85,11 +85,11 @@
 }
 
 impl LogHandle {
-    /// Waits a moment for the lines that are still to be written.
+    /// Waits for a limited time until the queued lines are written.
     pub fn flush(&self) {
         let (done, wait) = sync_channel(1);
         if self.lines.try_send(Message::Flush(done)).is_ok() {
-            match wait.recv_timeout(FLUSH) {
+            match wait.recv_timeout(FLUSH_TIMEOUT) {
                 Ok(()) | Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => {}
             }
         }
@@ -112,7 +112,7 @@
     fn write(&self, _now: &mut DeferredNow, record: &Record<'_>) -> io::Result<()> {
         let now = Instant::now();
         let mut fields = Fields::default();
-        // A source that can't be visited leaves its fields out; the message is there all the same.
+        // If the fields can't be visited, the line is written without them.
         record.key_values().visit(&mut fields).ok();
         let event = fields
             .0
@@ -120,17 +120,17 @@
             .and_then(Value::as_str)
             .unwrap_or("message")
             .to_owned();
-        let left_out = self.limits().drain(now);
-        for (kind, count) in left_out {
+        let suppressed = self.limits().drain(now);
+        for (kind, count) in suppressed {
             let mut line = line("WARN", "lines_left_out");
             line.insert("of".to_owned(), Value::from(kind));
             line.insert("count".to_owned(), Value::from(count));
             self.send(Value::Object(line).to_string());
         }
-        let lost = self.dropped.swap(0, Ordering::Relaxed);
-        if lost > 0 {
+        let dropped = self.dropped.swap(0, Ordering::Relaxed);
+        if dropped > 0 {
             let mut line = line("WARN", "lines_lost");
-            line.insert("count".to_owned(), Value::from(lost));
+            line.insert("count".to_owned(), Value::from(dropped));
             self.send(Value::Object(line).to_string());
         }
         if !self.limits().admit(now, &event) {
@@ -152,11 +152,11 @@
 }
 
 fn line(level: &str, event: &str) -> Map<String, Value> {
-    let since = SystemTime::now()
+    let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     let mut line = Map::new();
-    line.insert("at".to_owned(), Value::from(since.as_secs_f64()));
+    line.insert("at".to_owned(), Value::from(since_epoch.as_secs_f64()));
     line.insert("level".to_owned(), Value::from(level));
     line.insert("event".to_owned(), Value::from(event));
     line
@@ -167,11 +167,11 @@
 
 impl<'kvs> VisitSource<'kvs> for Fields {
     fn visit_pair(&mut self, key: Key<'kvs>, value: LogValue<'kvs>) -> Result<(), log::kv::Error> {
-        let whole = value.to_u64().map(Value::from);
-        let whole = whole.or_else(|| value.to_i64().map(Value::from));
-        let number = whole.or_else(|| value.to_f64().map(Value::from));
-        let plain = number.or_else(|| value.to_bool().map(Value::from));
-        let value = plain.unwrap_or_else(|| Value::from(value.to_string()));
+        let integer = value.to_u64().map(Value::from);
+        let integer = integer.or_else(|| value.to_i64().map(Value::from));
+        let number = integer.or_else(|| value.to_f64().map(Value::from));
+        let scalar = number.or_else(|| value.to_bool().map(Value::from));
+        let value = scalar.unwrap_or_else(|| Value::from(value.to_string()));
         self.0.insert(key.as_str().to_owned(), value);
         Ok(())
     }
--- a/crates/rack/src/logging/mod.rs
+++ b/crates/rack/src/logging/mod.rs
@@ -1,4 +1,4 @@
-//! The log: JSON lines on stdout, written by a thread of its own.
+//! The log: JSON lines on stdout, written by a dedicated thread.
 
 mod limits;
 mod line_writer;
