--- a/crates/rack/src/metrics/metrics_page.rs
+++ b/crates/rack/src/metrics/metrics_page.rs
@@ -1,4 +1,4 @@
-//! What a node counts.
+//! Counters and latencies of a node.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -10,12 +10,12 @@
 use hdrhistogram::Histogram;
 use quetzalrack_mesh::traffic::RefusalReason;
 
-/// The quantiles that are shown.
+/// Quantiles on the metrics page.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 0.999];
-/// How precisely latencies are kept: two digits are enough for a page and take 30 kB a route.
-const DIGITS: u8 = 2;
+/// Precision of latencies: two digits are enough for the page and take 30 kB per route.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Counts what a node does. Counters only rise; a restart starts them at zero.
+/// Counts events of a node. Counters only rise; a restart resets them to zero.
 #[derive(Debug, Default)]
 pub struct Metrics {
     counts: Mutex<Counts>,
@@ -28,30 +28,31 @@
 }
 
 impl Metrics {
-    /// Counts a job that the backend server answered.
+    /// Counts a job to which the backend server responded.
     pub fn served(&self) {
         self.add("egress_served_total", "");
     }
 
-    /// Counts a job that surely did not run here.
+    /// Counts a job that certainly did not run here.
     pub fn not_run(&self, reason: RefusalReason) {
         self.add("egress_not_run_total", &label("reason", reason.name()));
     }
 
-    /// Counts a job that may have run and has no answer.
+    /// Counts a job that may have run and has no response.
     pub fn lost(&self, reason: &str) {
         self.add("egress_lost_total", &label("reason", reason));
     }
 
-    /// Counts an answer to a client, and how long it took.
+    /// Counts a response to a client and records its latency.
     pub fn answered(&self, route: &str, status: u16, time: Duration) {
         let labels = format!("{{route=\"{route}\",status=\"{status}\"}}");
         self.add("ingress_answers_total", &labels);
         let mut counts = self.counts();
         let latencies = counts.latencies.entry(route.to_owned());
         let latencies = latencies.or_insert_with(|| {
-            // Two digits are always possible.
-            Histogram::new(DIGITS).unwrap_or_else(|_| unreachable!("0 to 5 digits are allowed"))
+            // Two digits are within the allowed range.
+            Histogram::new(SIGNIFICANT_DIGITS)
+                .unwrap_or_else(|_| unreachable!("0 to 5 digits are allowed"))
         });
         latencies.saturating_record(u64::try_from(time.as_micros()).unwrap_or(u64::MAX));
     }
@@ -61,17 +62,17 @@
         self.add("ingress_retries_total", &label("why", why));
     }
 
-    /// Counts a heartbeat of the backend server, by what it was answered.
+    /// Counts a heartbeat of the backend server by its answer.
     pub fn heartbeat(&self, answer: &str) {
         self.add("server_heartbeats_total", &label("answer", answer));
     }
 
-    /// Counts a record, heartbeat or datagram that can't be read.
+    /// Counts a record, heartbeat or datagram that can't be decoded.
     pub fn unreadable(&self, what: &str) {
         self.add("unreadable_total", &label("what", what));
     }
 
-    /// Counts a call to the metadata store, by its end.
+    /// Counts a call to the metadata store by its outcome.
     pub fn store_call(&self, call: &str, end: &str) {
         self.add(
             "store_calls_total",
@@ -79,7 +80,7 @@
         );
     }
 
-    /// Counts a call to the backend server about its keys, by its end.
+    /// Counts a call to the backend server about its keys by its outcome.
     pub fn key_call(&self, call: &str, end: &str) {
         self.add(
             "key_calls_total",
@@ -87,7 +88,7 @@
         );
     }
 
-    /// Sets how many connections to the backend server were opened.
+    /// Sets the number of connections opened to the backend server.
     pub fn set_opened(&self, opened: u64) {
         let mut counts = self.counts();
         counts
@@ -95,7 +96,7 @@
             .insert("server_connections_opened_total".to_owned(), opened);
     }
 
-    /// Writes the page.
+    /// Returns the text of the metrics page.
     pub fn page(&self) -> String {
         let counts = self.counts();
         let mut page = String::new();
--- a/crates/rack/src/metrics/metrics_server.rs
+++ b/crates/rack/src/metrics/metrics_server.rs
@@ -1,4 +1,4 @@
-//! The metrics address.
+//! HTTP server of the metrics page.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use super::Metrics;
 use crate::accept::accept_all;
 
-/// Serves the page to whoever asks, whatever the path, until the process ends.
+/// Serves the page on every path until the process ends.
 pub async fn serve_metrics(listener: TcpListener, metrics: Arc<Metrics>) {
     accept_all(listener, "metrics", move |stream| {
         let metrics = Arc::clone(&metrics);
@@ -24,7 +24,7 @@
             let page = metrics.page();
             async move { Ok::<_, Infallible>(Response::new(Full::new(Bytes::from(page)))) }
         });
-        // Whoever asked has gone; the next one asks again.
+        // A failed connection needs no handling: the client requests the page again.
         http1::Builder::new().serve_connection(TokioIo::new(stream), service)
     })
     .await;
