--- a/crates/rack/src/control/control_loop.rs
+++ b/crates/rack/src/control/control_loop.rs
@@ -1,4 +1,4 @@
-//! The loop around the control machine.
+//! Setup of the control thread.
 
 use std::cell::RefCell;
 use std::io;
@@ -19,11 +19,11 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
+use super::control_runner::ControlRunner;
 use super::http_port::serve_port;
 use super::intent_reader::IntentReader;
 use super::key_calls::KeyCalls;
-use super::peer_intent::PeerIntent;
-use super::running::Running;
+use super::peer_intent_client::PeerIntentClient;
 use super::server_port::ServerPort;
 use super::server_port::status;
 use super::store_calls::StoreCalls;
@@ -32,19 +32,19 @@
 use crate::shared::Board;
 use crate::shared::NodeView;
 
-/// Is what the control thread needs.
+/// Settings of the control thread.
 pub struct ControlSettings {
     /// The host.
     pub host: HostSettings,
-    /// What the node says of itself.
+    /// Description of the node that its heartbeats carry.
     pub profile: NodeProfile,
-    /// Where other nodes' datagrams come.
+    /// Address on which datagrams of other nodes are received.
     pub peers: SocketAddr,
     /// The metadata store.
     pub store: Arc<dyn SharedStore>,
 }
 
-/// Runs the control machine on the thread that runs this.
+/// The control side of a node, which runs on the calling thread.
 pub struct ControlNode {
     settings: ControlSettings,
     board: Arc<Board>,
@@ -53,7 +53,7 @@
 }
 
 impl ControlNode {
-    /// Makes the control side of a node; a message on `shutdown` tells it that the process leaves.
+    /// Creates the control side of a node; a message on `shutdown` starts the graceful shutdown.
     pub fn new(
         settings: ControlSettings,
         board: Arc<Board>,
@@ -81,10 +81,10 @@
         let socket = Rc::new(UdpSocket::bind(self.settings.peers).await?);
         let heartbeats = TcpListener::bind(host.listen.heartbeats).await?;
         let readiness = TcpListener::bind(host.listen.readiness).await?;
-        let (questions, asked) = mpsc::unbounded_channel();
-        let (events, happened) = mpsc::unbounded_channel();
+        let (sender, server_calls) = mpsc::unbounded_channel();
+        let (events, incoming) = mpsc::unbounded_channel();
         let port = Rc::new(ServerPort {
-            questions,
+            server_calls: sender,
             metrics: Arc::clone(&self.metrics),
         });
         tokio::task::spawn_local(serve_port(heartbeats, move |request| {
@@ -97,20 +97,20 @@
             events: events.clone(),
             metrics: Arc::clone(&self.metrics),
             intent: Rc::clone(&intent),
-            away: Rc::default(),
+            store_unreachable: Rc::default(),
         };
         let http = reqwest::Client::builder().no_proxy().http1_only().build();
-        let peers = PeerIntent {
+        let peers = PeerIntentClient {
             http: http.map_err(io::Error::other)?,
             events: events.clone(),
             intent,
         };
-        let usual = LeaseTimes::for_granting(host.granting, host.heartbeat);
+        let default_times = LeaseTimes::for_granting(host.granting, host.heartbeat);
         let times = LeaseTimes {
-            max_hold: usual.max_hold.min(host.bounds.max_hold),
-            ..usual
+            max_hold: default_times.max_hold.min(host.bounds.max_hold),
+            ..default_times
         };
-        let running = Running {
+        let runner = ControlRunner {
             machine: NodeMachine::new(clock::now(), self.settings.profile.clone(), times),
             calls: KeyCalls::new(times, events.clone(), Arc::clone(&self.metrics)),
             board: self.board,
@@ -123,14 +123,14 @@
             metrics: self.metrics,
             peers,
             reader,
-            reading: None,
+            intent_read: None,
             intent_offset: None,
             view: NodeView::default(),
-            gone_told: false,
+            unreachable_reported: false,
             heartbeat: host.heartbeat,
         };
-        running.warm(host.server);
-        running.run(asked, happened, self.shutdown).await;
+        runner.open_connections(host.server);
+        runner.run(server_calls, incoming, self.shutdown).await;
         Ok(())
     }
 
@@ -138,12 +138,12 @@
         let board = Arc::clone(&self.board);
         tokio::task::spawn_local(serve_port(listener, move |request| {
             let view = board.view();
-            let known = request.uri().path() == READINESS_PATH;
-            // Ready means that a client's request can be placed now.
+            let is_readiness = request.uri().path() == READINESS_PATH;
+            // Ready means that a node for a client's request can be chosen now.
             let ready = view.routes.is_some()
                 && !view.directory.members.is_empty()
                 && !board.is_shutting_down();
-            let status = match (known, ready) {
+            let status = match (is_readiness, ready) {
                 (false, _) => status(StatusCode::NOT_FOUND),
                 (true, false) => status(StatusCode::SERVICE_UNAVAILABLE),
                 (true, true) => status(StatusCode::OK),
--- a/crates/rack/src/control/running.rs
+++ b/crates/rack/src/control/control_runner.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the control machine decides.
+//! Event loop that runs the control machine and executes its actions.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,8 +20,8 @@
 
 use super::intent_reader::IntentReader;
 use super::key_calls::KeyCalls;
-use super::peer_intent::PeerIntent;
-use super::server_port::ServerQuestion;
+use super::peer_intent_client::PeerIntentClient;
+use super::server_port::PendingServerCall;
 use super::store_calls::StoreCalls;
 use crate::clock;
 use crate::metrics::Metrics;
@@ -29,42 +29,42 @@
 use crate::shared::NodeView;
 use crate::shared::ServerView;
 
-/// How often the machine looks at the time: a quarter of a beat.
-const TICK: Duration = Duration::from_millis(100);
-/// The largest datagram.
-const DATAGRAM: usize = 65_507;
-/// How many heartbeats of a backend server must be missing, beside a port that takes no
-/// connections, until it counts as gone; a server that starts anew is heard by then.
-const GONE_BEATS: f64 = 1.6;
+/// Interval of the machine's ticks: a quarter of a heartbeat interval.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum size of a datagram in bytes.
+const MAX_DATAGRAM_BYTES: usize = 65_507;
+/// Heartbeat intervals without a heartbeat after which a backend server whose port refuses
+/// connections counts as unreachable; a restarted server sends a heartbeat before that.
+const UNREACHABLE_HEARTBEATS: f64 = 1.6;
 
-/// Is the machine with everything that carries out its actions.
-pub(super) struct Running {
+/// Runs the control machine and executes its actions.
+pub(super) struct ControlRunner {
     pub(super) machine: NodeMachine,
     pub(super) board: Arc<Board>,
     pub(super) metrics: Arc<Metrics>,
     pub(super) socket: Rc<UdpSocket>,
     pub(super) store: StoreCalls,
-    pub(super) peers: PeerIntent,
+    pub(super) peers: PeerIntentClient,
     pub(super) reader: IntentReader,
-    /// The read of the operators' topic that is on its way.
-    pub(super) reading: Option<AbortHandle>,
+    /// The read of the operators' topic in progress.
+    pub(super) intent_read: Option<AbortHandle>,
     pub(super) calls: KeyCalls,
     pub(super) intent_offset: Option<u64>,
     pub(super) view: NodeView,
-    pub(super) gone_told: bool,
+    pub(super) unreachable_reported: bool,
     pub(super) heartbeat: Duration,
 }
 
-impl Running {
+impl ControlRunner {
     /// Runs until the process ends.
     pub(super) async fn run(
         mut self,
-        mut asked: mpsc::UnboundedReceiver<ServerQuestion>,
-        mut happened: mpsc::UnboundedReceiver<Event>,
+        mut server_calls: mpsc::UnboundedReceiver<PendingServerCall>,
+        mut events: mpsc::UnboundedReceiver<Event>,
         mut shutdown: mpsc::UnboundedReceiver<()>,
     ) {
-        let mut buffer = vec![0; DATAGRAM];
-        let mut tick = tokio::time::interval(TICK);
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let socket = Rc::clone(&self.socket);
         loop {
@@ -72,11 +72,11 @@
             tokio::select! {
                 received = socket.recv_from(&mut buffer) => {
                     if let Ok((length, from)) = received {
-                        self.take(from, buffer.get(..length).unwrap_or_default());
+                        self.handle_datagram(from, buffer.get(..length).unwrap_or_default());
                     }
                 }
-                Some((word, answer)) = asked.recv() => self.hear(word, answer),
-                Some(event) = happened.recv() => self.step(event, None),
+                Some((event, answer)) = server_calls.recv() => self.handle_call(event, answer),
+                Some(event) = events.recv() => self.step(event, None),
                 Some(()) = shutdown.recv() => {
                     self.view.shutting_down = true;
                     self.step(Event::Shutdown, None);
@@ -87,7 +87,7 @@
         }
     }
 
-    fn take(&mut self, from: SocketAddr, bytes: &[u8]) {
+    fn handle_datagram(&mut self, from: SocketAddr, bytes: &[u8]) {
         match PeerMessage::decode(bytes) {
             Ok(message) => self.step(Event::Message(from, message), None),
             Err(error) => {
@@ -97,41 +97,43 @@
         }
     }
 
-    fn hear(&mut self, word: ServerEvent, answer: oneshot::Sender<HeartbeatAnswer>) {
-        if let ServerEvent::Leaving(id) = &word {
+    fn handle_call(&mut self, event: ServerEvent, answer: oneshot::Sender<HeartbeatAnswer>) {
+        if let ServerEvent::Leaving(id) = &event {
             log::info!(event = "server_leaves", server:% = id; "");
         }
-        self.gone_told = false;
-        self.step(Event::Server(word), Some(answer));
+        self.unreachable_reported = false;
+        self.step(Event::Server(event), Some(answer));
         if let Some(server) = self.machine.server() {
-            self.warm(server.address);
+            self.open_connections(server.address);
         }
     }
 
-    /// Opens connections for calls about keys, if the server is called.
-    pub(super) fn warm(&self, server: SocketAddr) {
+    /// Opens connections for calls about keys, if keys are granted by calls.
+    pub(super) fn open_connections(&self, server: SocketAddr) {
         if self.machine.grants_by_call() {
-            tokio::task::spawn_local(self.calls.clone().warm(server));
+            tokio::task::spawn_local(self.calls.clone().open_connections(server));
         }
     }
 
     fn tick(&mut self) {
         let report = self.board.report();
         self.step(Event::Load(report.load, report.key_loads.clone()), None);
-        if report.server_gone && !self.gone_told && self.server_is_silent() {
-            self.gone_told = true;
+        if report.server_gone && !self.unreachable_reported && self.server_is_silent() {
+            self.unreachable_reported = true;
             log::warn!(event = "server_gone", why = "its port refuses connections"; "");
             self.step(Event::Server(ServerEvent::Unreachable), None);
         }
-        if let Some(neighbour) = self.board.take_intent_source() {
-            self.step(Event::IntentSource(neighbour), None);
+        if let Some(source) = self.board.take_intent_source() {
+            self.step(Event::IntentSource(source), None);
         }
         self.step(Event::Tick, None);
     }
 
     fn server_is_silent(&self) -> bool {
-        let heard = self.machine.server_heartbeat_at();
-        heard.is_some_and(|at| clock::now().since(at) >= self.heartbeat.mul_f64(GONE_BEATS))
+        let heartbeat_at = self.machine.server_heartbeat_at();
+        heartbeat_at.is_some_and(|at| {
+            clock::now().since(at) >= self.heartbeat.mul_f64(UNREACHABLE_HEARTBEATS)
+        })
     }
 
     fn step(&mut self, event: Event, answer: Option<oneshot::Sender<HeartbeatAnswer>>) {
@@ -147,32 +149,32 @@
                 Action::WriteLeader { topic_end, record } => {
                     tokio::task::spawn_local(self.store.clone().write(topic_end, record));
                 }
-                Action::AnswerHeartbeat(said) => {
-                    // The view goes first: a server that holds keys is sent their requests, and
-                    // one that is told to release them is not.
+                Action::AnswerHeartbeat(heartbeat_answer) => {
+                    // The view is published before the answer: traffic then sends requests to a server
+                    // that holds their keys and none to one that is told to release them.
                     self.publish(now);
                     if let Some(answer) = answer.take() {
-                        // A server that has hung up asks again.
-                        answer.send(said).ok();
+                        // A server that closed the connection sends another heartbeat.
+                        answer.send(heartbeat_answer).ok();
                     }
                 }
-                // It is spawned, and so begins after the view that follows from this step is published.
+                // The spawned call starts only after the view that results from this step is published.
                 Action::CallServer(call) => {
                     tokio::task::spawn_local(self.calls.clone().run(call));
                 }
                 Action::Publish => changed = true,
                 Action::ReadIntent { wait } => {
                     let read = tokio::task::spawn_local(self.reader.clone().read(wait));
-                    // Its connection is closed with it.
-                    self.reading
+                    // Aborting the previous read closes its connection.
+                    self.intent_read
                         .replace(read.abort_handle())
                         .inspect(AbortHandle::abort);
                 }
                 Action::FetchIntent(from) => {
                     tokio::task::spawn_local(self.peers.clone().fetch(from));
                 }
-                Action::Log(note) => log::info!(
-                    event = note.event, epoch = note.epoch.0, detail = note.detail,
+                Action::Log(entry) => log::info!(
+                    event = entry.event, epoch = entry.epoch.0, detail = entry.detail,
                     intent = self.machine.intent().offset; ""
                 ),
             }
@@ -184,7 +186,7 @@
 
     fn send(&self, to: SocketAddr, message: &PeerMessage) {
         match message.encode() {
-            // A datagram that can't be sent is a lost one, and those are expected.
+            // A failed send counts as a lost datagram, and the protocol tolerates losses.
             Ok(bytes) => drop(self.socket.try_send_to(&bytes, to)),
             Err(error) => log::error!(event = "datagram_not_written"; "{error}"),
         }
--- a/crates/rack/src/control/http_port.rs
+++ b/crates/rack/src/control/http_port.rs
@@ -1,4 +1,4 @@
-//! Small HTTP ports of the control thread.
+//! HTTP ports of the control thread.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -17,9 +17,10 @@
 
 use crate::accept::accept_all;
 
-/// How long a caller may take for the head of a request on a kept connection; the platform and the
+/// Maximum wait for the head of the next request on a kept-alive connection; the platform and the
 /// backend server call about once a second.
-const IDLE: Duration = Duration::from_secs(30);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
+
 /// Answers the requests of one port until the process ends.
 pub(super) async fn serve_port<F, A>(listener: TcpListener, answer: F)
 where
@@ -33,10 +34,10 @@
             let answer = answer(request);
             async move { Ok::<_, Infallible>(answer.await) }
         });
-        // A caller that broke off calls again.
+        // A failed connection needs no handling: the caller repeats the call.
         http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(IDLE)
+            .header_read_timeout(HEAD_TIMEOUT)
             .serve_connection(TokioIo::new(stream), service)
     })
     .await;
--- a/crates/rack/src/control/intent_reader.rs
+++ b/crates/rack/src/control/intent_reader.rs
@@ -1,4 +1,4 @@
-//! Reading what operators write to the store.
+//! Reading the operators' intent from the store.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -21,19 +21,19 @@
 use crate::clock;
 use crate::metrics::Metrics;
 
-/// Keeps the newest intent, read from the store or told by another node.
+/// Reads the operators' intent from the store and keeps the newest one, which may come from a peer.
 #[derive(Clone)]
 pub(super) struct IntentReader {
     pub(super) store: Arc<dyn SharedStore>,
     pub(super) events: mpsc::UnboundedSender<Event>,
     pub(super) metrics: Arc<Metrics>,
     pub(super) intent: Rc<RefCell<OperatorsIntent>>,
-    /// Whether the newest read failed.
-    pub(super) away: Rc<Cell<bool>>,
+    /// Whether the latest read failed to reach the store.
+    pub(super) store_unreachable: Rc<Cell<bool>>,
 }
 
 impl IntentReader {
-    /// Reads once, and reports news and how it ended.
+    /// Reads once and reports a changed intent and the outcome of the read.
     pub(super) async fn read(self, wait: Duration) {
         let begun = clock::now();
         let from = self.intent.borrow().offset;
@@ -42,9 +42,9 @@
             true => self.store.read(OPERATORS_TOPIC, from, wait).await,
             false => self.store.newest(OPERATORS_TOPIC).await,
         };
-        let reached = outcome != ReadOutcome::Unavailable;
-        self.note(reached, from, clock::now().since(begun));
-        let ended = match outcome {
+        let reachable = outcome != ReadOutcome::Unavailable;
+        self.record_read(reachable, from, clock::now().since(begun));
+        let result = match outcome {
             ReadOutcome::Records { records, .. } if known && records.is_empty() => {
                 IntentRead::Unchanged { begun }
             }
@@ -53,22 +53,22 @@
                 IntentRead::Changed { begun }
             }
             ReadOutcome::Records { records, end, .. } => self.replace(begun, records, end),
-            // The records after ours are gone; the newest of each key are not.
+            // The records after the known offset are deleted; the newest record of each key is kept.
             ReadOutcome::Expired => match self.store.newest(OPERATORS_TOPIC).await {
                 ReadOutcome::Records { records, end, .. } => self.replace(begun, records, end),
                 ReadOutcome::Expired | ReadOutcome::Unavailable => IntentRead::Failed,
             },
             ReadOutcome::Unavailable => IntentRead::Failed,
         };
-        // The control loop ends only with the process.
-        self.events.send(Event::IntentRead(ended)).ok();
+        // The receiver is dropped only when the process ends.
+        self.events.send(Event::IntentRead(result)).ok();
     }
 
-    fn note(&self, reached: bool, from: u64, took: Duration) {
+    fn record_read(&self, reachable: bool, from: u64, took: Duration) {
         self.metrics
-            .store_call("intent", if reached { "ok" } else { "failed" });
-        if self.away.replace(!reached) == reached {
-            let event = match reached {
+            .store_call("intent", if reachable { "ok" } else { "failed" });
+        if self.store_unreachable.replace(!reachable) == reachable {
+            let event = match reachable {
                 true => "store_regained",
                 false => "store_lost",
             };
@@ -78,8 +78,8 @@
 
     fn apply(&self, records: Vec<KeyedRecord>, next: u64) {
         let mut intent = self.intent.borrow().clone();
-        self.change(&mut intent, records);
-        // Another node may have told more meanwhile.
+        self.apply_records(&mut intent, records);
+        // A newer intent may have come from a peer during the read.
         if next > self.intent.borrow().offset {
             intent.offset = next;
             self.publish(intent);
@@ -88,10 +88,10 @@
 
     fn replace(&self, begun: Moment, records: Vec<KeyedRecord>, end: u64) -> IntentRead {
         let mut intent = OperatorsIntent::default();
-        self.change(&mut intent, records);
+        self.apply_records(&mut intent, records);
         let (known, read) = (self.version(&self.intent.borrow()), self.version(&intent));
-        // A page that lags behind what is known says nothing of what was written up to its end: going on
-        // from there would leave a version out for good.
+        // A page that is older than the known intent may lack records written before its end: to continue
+        // from that end would skip a version for good.
         if known > read || intent.config.is_none() || end < self.intent.borrow().offset {
             return IntentRead::Failed;
         }
@@ -100,7 +100,7 @@
         IntentRead::Changed { begun }
     }
 
-    fn change(&self, intent: &mut OperatorsIntent, records: Vec<KeyedRecord>) {
+    fn apply_records(&self, intent: &mut OperatorsIntent, records: Vec<KeyedRecord>) {
         for record in records {
             match parse_record(&record) {
                 Ok(IntentChange::Config(config)) => {
@@ -136,7 +136,7 @@
             evacuated = intent.evacuated.len(); ""
         );
         self.intent.replace(intent.clone());
-        // The control loop ends only with the process.
+        // The receiver is dropped only when the process ends.
         self.events.send(Event::Intent(intent)).ok();
     }
 }
--- a/crates/rack/src/control/key_calls.rs
+++ b/crates/rack/src/control/key_calls.rs
@@ -1,4 +1,4 @@
-//! The calls that grant the backend server its keys and take them back.
+//! Calls that grant key ranges to the backend server and release them.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -33,18 +33,18 @@
 use crate::traffic::wire::Pool;
 use crate::traffic::wire::PoolLimits;
 
-/// Connections for calls about keys. Most calls follow one another; a release takes a connection for as
-/// long as work goes on, and others pass it.
+/// Limits of the connections for calls about keys. Most calls are sequential; a release occupies a
+/// connection until the work on its keys ends, and other calls use another connection meanwhile.
 const POOL_LIMITS: PoolLimits = PoolLimits {
     dial_timeout: Duration::from_millis(300),
     idle_timeout: Duration::from_secs(6),
     max_idle: 2,
 };
-/// How long the answer to a release is waited for; it comes when the work on the keys has ended. An
-/// answer that was lost on the way costs this.
-const RELEASE_LIMIT: Duration = Duration::from_millis(1_500);
+/// Maximum wait for the response to a release, which is sent when the work on the keys has ended. A
+/// response that is lost in transit delays the release by this time.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Calls the backend server and reports what came of it as events.
+/// Calls the backend server and reports the outcomes as events.
 #[derive(Clone)]
 pub(super) struct KeyCalls {
     pub(super) pool: Rc<Pool>,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Makes one call.
+    /// Makes one call and reports its outcome.
     pub(super) async fn run(self, call: KeyCall) {
         let KeyCall {
             id,
@@ -87,27 +87,27 @@
             }
             KeyRequest::Release(held) => ("release", held, self.release(address, held).await),
         };
-        let ended = ended(&outcome);
-        self.metrics.key_call(name, ended);
-        let done = matches!(
+        let label = outcome_label(&outcome);
+        self.metrics.key_call(name, label);
+        let succeeded = matches!(
             outcome,
             KeyCallOutcome::Granted { .. } | KeyCallOutcome::Released(_)
         );
-        if !done {
+        if !succeeded {
             log::warn!(
                 event = "key_call_failed", call = name, keys:% = held.keys, token:% = held.fence,
-                end = ended; ""
+                end = label; ""
             );
         }
         let event = Event::Server(ServerEvent::CallEnded(id, outcome));
-        // The control loop ends only with the process.
+        // The receiver is dropped only when the process ends.
         self.events.send(event).ok();
     }
 
-    /// Opens connections ahead: a grant may only go on one that was open before a heartbeat.
-    pub(super) async fn warm(self, address: SocketAddr) {
-        let opened = self.pool.warm(address).await;
-        if let Err(error) = opened {
+    /// Opens connections in advance: a grant may only use one that was open before a heartbeat.
+    pub(super) async fn open_connections(self, address: SocketAddr) {
+        let result = self.pool.warm(address).await;
+        if let Err(error) = result {
             log::info!(event = "no_connection_for_calls", to:% = address; "{error}");
         }
     }
@@ -120,24 +120,24 @@
         end: Moment,
     ) -> KeyCallOutcome {
         let sent = Cell::new(None);
-        // The hold is counted when a connection is open, with a clock that counts suspended time: what
-        // was decided before a wait must not make it longer.
-        let make = || {
+        // The hold is computed once a connection is open, with a clock that counts suspended time, so
+        // that waiting for the connection does not extend it.
+        let build_request = || {
             let now = clock::now();
             let time = self.times.call_hold(now, end)?;
             sent.set(Some((now, time)));
-            Some(addressed(grant_request(&range, time), address))
+            Some(with_host(grant_request(&range, time), address))
         };
         let exchange = self
             .pool
-            .exchange_deferred(address, Some(heartbeat_at), make);
-        // Dropped at its limit, the call's connection is closed.
-        let ended = tokio::time::timeout(self.times.call_timeout, exchange).await;
+            .exchange_deferred(address, Some(heartbeat_at), build_request);
+        // An exchange that is dropped at its timeout closes the call's connection.
+        let result = tokio::time::timeout(self.times.call_timeout, exchange).await;
         let Some((sent, time)) = sent.get() else {
             return KeyCallOutcome::NotSent;
         };
         let now = clock::now();
-        match status_of(ended) {
+        match status_of(result) {
             Some(StatusCode::OK) => KeyCallOutcome::Granted {
                 sent,
                 answered: now,
@@ -145,18 +145,18 @@
             },
             Some(StatusCode::CONFLICT) => KeyCallOutcome::StaleToken,
             Some(status) if status.is_client_error() => KeyCallOutcome::Rejected,
-            // What fails otherwise may still be obeyed.
+            // Any other failure leaves open whether the server applied the grant.
             Some(_) | None => KeyCallOutcome::Unanswered { closed: now, time },
         }
     }
 
     async fn release(&self, address: SocketAddr, held: HeldRange) -> KeyCallOutcome {
-        let make = || Some(addressed(release_request(held), address));
-        let exchange = self.pool.exchange_deferred(address, None, make);
-        let ended = tokio::time::timeout(RELEASE_LIMIT, exchange).await;
-        match ended {
-            Ok(Ok(Some(answer))) if answer.status() == StatusCode::OK => {
-                KeyCallOutcome::Released(read_handover(answer.headers()))
+        let build_request = || Some(with_host(release_request(held), address));
+        let exchange = self.pool.exchange_deferred(address, None, build_request);
+        let result = tokio::time::timeout(RELEASE_TIMEOUT, exchange).await;
+        match result {
+            Ok(Ok(Some(response))) if response.status() == StatusCode::OK => {
+                KeyCallOutcome::Released(read_handover(response.headers()))
             }
             Ok(Ok(_)) => KeyCallOutcome::Rejected,
             Ok(Err(ExchangeError::Connect(_))) => KeyCallOutcome::NotSent,
@@ -168,22 +168,23 @@
     }
 }
 
-type Ended = Result<Result<Option<Response<Bytes>>, ExchangeError>, tokio::time::error::Elapsed>;
+type ExchangeResult =
+    Result<Result<Option<Response<Bytes>>, ExchangeError>, tokio::time::error::Elapsed>;
 
-fn status_of(ended: Ended) -> Option<StatusCode> {
-    ended.ok()?.ok()?.map(|answer| answer.status())
+fn status_of(result: ExchangeResult) -> Option<StatusCode> {
+    result.ok()?.ok()?.map(|response| response.status())
 }
 
-fn addressed(request: Request<Vec<u8>>, address: SocketAddr) -> Request<Full<Bytes>> {
+fn with_host(request: Request<Vec<u8>>, address: SocketAddr) -> Request<Full<Bytes>> {
     let mut request = request.map(|body| Full::new(Bytes::from(body)));
-    // An address is always a proper header value.
+    // An address is always a valid header value.
     if let Ok(host) = HeaderValue::from_str(&address.to_string()) {
         request.headers_mut().insert(HOST, host);
     }
     request
 }
 
-fn ended(outcome: &KeyCallOutcome) -> &'static str {
+fn outcome_label(outcome: &KeyCallOutcome) -> &'static str {
     match outcome {
         KeyCallOutcome::Granted { .. } => "granted",
         KeyCallOutcome::StaleToken => "outbid",
--- a/crates/rack/src/control/peer_intent.rs
+++ b/crates/rack/src/control/peer_intent_client.rs
@@ -1,4 +1,4 @@
-//! Learning the operators' intent from another node, for a node that can't reach the store.
+//! Fetching the operators' intent from a peer, for a node that can't reach the store.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -11,27 +11,27 @@
 
 use crate::traffic::INTENT_PATH;
 
-/// How long the other node may take; it answers from memory.
-const PATIENCE: Duration = Duration::from_millis(800);
+/// Time limit of a fetch; the peer responds from memory.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Asks other nodes.
+/// Fetches the operators' intent from peers.
 #[derive(Clone)]
-pub(super) struct PeerIntent {
+pub(super) struct PeerIntentClient {
     pub(super) http: reqwest::Client,
     pub(super) events: mpsc::UnboundedSender<Event>,
     pub(super) intent: Rc<RefCell<OperatorsIntent>>,
 }
 
-impl PeerIntent {
-    /// Asks one node and takes over what it knows, if that is newer.
+impl PeerIntentClient {
+    /// Fetches the intent of one peer and adopts it if it is newer.
     pub(super) async fn fetch(self, from: SocketAddr) {
         let url = format!("http://{from}{INTENT_PATH}");
-        let asked = self.http.get(url).timeout(PATIENCE).send().await;
-        let Ok(bytes) = async { asked?.error_for_status()?.bytes().await }.await else {
+        let response = self.http.get(url).timeout(FETCH_TIMEOUT).send().await;
+        let Ok(bytes) = async { response?.error_for_status()?.bytes().await }.await else {
             return;
         };
-        let told: OperatorsIntent = match postcard::from_bytes(&bytes) {
-            Ok(told) => told,
+        let fetched: OperatorsIntent = match postcard::from_bytes(&bytes) {
+            Ok(fetched) => fetched,
             Err(error) => {
                 log::warn!(event = "peer_intent_unreadable", from:% = from; "{error}");
                 return;
@@ -41,17 +41,17 @@
             |intent: &OperatorsIntent| intent.config.as_ref().map(|config| config.version);
         let newer = {
             let known = self.intent.borrow();
-            told.offset > known.offset && version(&told) >= version(&known)
+            fetched.offset > known.offset && version(&fetched) >= version(&known)
         };
         if !newer {
             return;
         }
         log::info!(
-            event = "intent_in_force", source = "peer", from:% = from, offset = told.offset,
-            version = version(&told).unwrap_or_default(); ""
+            event = "intent_in_force", source = "peer", from:% = from, offset = fetched.offset,
+            version = version(&fetched).unwrap_or_default(); ""
         );
-        self.intent.replace(told.clone());
-        // The control loop ends only with the process.
-        self.events.send(Event::Intent(told)).ok();
+        self.intent.replace(fetched.clone());
+        // The receiver is dropped only when the process ends.
+        self.events.send(Event::Intent(fetched)).ok();
     }
 }
--- a/crates/rack/src/control/server_port.rs
+++ b/crates/rack/src/control/server_port.rs
@@ -1,4 +1,4 @@
-//! The backend server's heartbeats.
+//! HTTP port for the backend server's heartbeats.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,12 +21,12 @@
 
 use crate::metrics::Metrics;
 
-/// Is a call of the backend server that waits for its answer.
-pub(super) type ServerQuestion = (ServerEvent, oneshot::Sender<HeartbeatAnswer>);
+/// A call of the backend server with the sender of its answer.
+pub(super) type PendingServerCall = (ServerEvent, oneshot::Sender<HeartbeatAnswer>);
 
-/// Passes the backend server's calls to the control machine.
+/// Forwards the backend server's calls to the control machine.
 pub(super) struct ServerPort {
-    pub(super) questions: mpsc::UnboundedSender<ServerQuestion>,
+    pub(super) server_calls: mpsc::UnboundedSender<PendingServerCall>,
     pub(super) metrics: Arc<Metrics>,
 }
 
@@ -38,7 +38,7 @@
         let Some(call) = ServerCall::parse(request.method(), request.uri().path()) else {
             return status(StatusCode::NOT_FOUND);
         };
-        let word = match call {
+        let event = match call {
             ServerCall::Leave(id) => ServerEvent::Leaving(id),
             ServerCall::Heartbeat(id) => {
                 let Ok(body) = request.into_body().collect().await else {
@@ -46,7 +46,7 @@
                 };
                 match parse_heartbeat(id, &body.to_bytes()) {
                     Ok(heartbeat) => ServerEvent::Heartbeat(heartbeat),
-                    // Another writer's slip names no server; the one that is known stays.
+                    // A malformed heartbeat changes nothing about the known server.
                     Err(error) => {
                         self.metrics.unreadable("heartbeat");
                         log::warn!(event = "heartbeat_unreadable"; "{error}");
@@ -56,7 +56,7 @@
             }
         };
         let (sender, answer) = oneshot::channel();
-        if self.questions.send((word, sender)).is_err() {
+        if self.server_calls.send((event, sender)).is_err() {
             return status(StatusCode::SERVICE_UNAVAILABLE);
         }
         let body = match answer.await {
--- a/crates/rack/src/control/store_calls.rs
+++ b/crates/rack/src/control/store_calls.rs
@@ -1,4 +1,4 @@
-//! The control machine's calls to the store.
+//! Calls of the control machine to the store.
 
 use std::sync::Arc;
 
@@ -15,10 +15,10 @@
 use crate::clock;
 use crate::metrics::Metrics;
 
-/// The key of the record that names the leader.
+/// Key of the leader record.
 const LEADER_KEY: &str = "leader";
 
-/// Calls the store and reports what came of it as events.
+/// Calls the store and reports the outcomes as events.
 #[derive(Clone)]
 pub(super) struct StoreCalls {
     pub(super) store: Arc<dyn SharedStore>,
@@ -29,7 +29,7 @@
 impl StoreCalls {
     /// Reads the newest leader record.
     pub(super) async fn read(self) {
-        let asked = clock::now();
+        let started = clock::now();
         let read = match self.store.newest(LEADER_TOPIC).await {
             ReadOutcome::Records { records, end, .. } => {
                 self.metrics.store_call("newest", "ok");
@@ -40,7 +40,7 @@
                 LeaderRead::Unavailable
             }
         };
-        self.report(Event::LeaderRead(asked, read));
+        self.report(Event::LeaderRead(started, read));
     }
 
     /// Appends a leader record.
@@ -56,13 +56,13 @@
                 AppendOutcome::Refused
             }
         };
-        let ended = match outcome {
+        let label = match outcome {
             AppendOutcome::Appended => "ok",
             AppendOutcome::Superseded => "overtaken",
             AppendOutcome::Refused => "refused",
             AppendOutcome::Unknown => "unknown",
         };
-        self.metrics.store_call("append", ended);
+        self.metrics.store_call("append", label);
         self.report(Event::LeaderWritten(outcome));
     }
 
@@ -82,7 +82,7 @@
     }
 
     fn report(&self, event: Event) {
-        // The control loop ends only with the process.
+        // The receiver is dropped only when the process ends.
         self.events.send(event).ok();
     }
 }
