--- a/crates/rack/src/command/rack_command.rs
+++ b/crates/rack/src/command/rack_command.rs
@@ -41,7 +41,7 @@
     /// The port of the metrics page
     #[arg(long)]
     metrics: Option<u16>,
-    /// Address to listen on for other nodes; they are given the address in the settings, which must reach it
+    /// Listen address for other nodes; the address in the settings, which they use, must lead here
     #[arg(long)]
     peers: Option<SocketAddr>,
 }
