--- a/crates/node/src/admin/read_status.rs
+++ b/crates/node/src/admin/read_status.rs
@@ -20,7 +20,7 @@
         environment: state.environment.clone(),
         stage: state.stage,
         member,
-        leaving: state.view.leaving.load(Ordering::Acquire),
+        leaving: state.view.shutting_down.load(Ordering::Acquire),
         intent: read_intent(state, now),
         log_reachable: state.board.log_reachable.load(Ordering::Relaxed),
         routing: state.view.routing.load().version,
--- a/crates/node/src/calls/call_client.rs
+++ b/crates/node/src/calls/call_client.rs
@@ -15,8 +15,8 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::FailedCall;
-use super::IntentQuestion;
+use super::IntentQuery;
+use super::PeerCallError;
 use crate::platform::KeyStore;
 use crate::shared::Handover;
 use crate::shared::HandoverLink;
@@ -40,17 +40,17 @@
     pub async fn intent_snapshot(
         &self,
         to: SocketAddr,
-        question: &IntentQuestion,
-    ) -> Result<Option<IntentSnapshot>, FailedCall> {
+        question: &IntentQuery,
+    ) -> Result<Option<IntentSnapshot>, PeerCallError> {
         self.call(to, calls::INTENT_SNAPSHOT, question).await
     }
 
     /// Asks another node who it is.
-    pub async fn member(&self, to: SocketAddr) -> Result<Member, FailedCall> {
+    pub async fn member(&self, to: SocketAddr) -> Result<Member, PeerCallError> {
         self.call(to, calls::MEMBER, &()).await
     }
 
-    async fn call<Q, A>(&self, to: SocketAddr, method: &str, body: &Q) -> Result<A, FailedCall>
+    async fn call<Q, A>(&self, to: SocketAddr, method: &str, body: &Q) -> Result<A, PeerCallError>
     where
         Q: Serialize,
         A: DeserializeOwned,
--- a/crates/node/src/calls/call_server.rs
+++ b/crates/node/src/calls/call_server.rs
@@ -21,7 +21,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::IntentQuestion;
+use super::IntentQuery;
 use super::RunningCalls;
 use crate::platform::KeyStore;
 use crate::shared::Handover;
@@ -88,7 +88,7 @@
         Ok(module)
     }
 
-    fn newer_intent(&self, question: &IntentQuestion) -> Option<IntentSnapshot> {
+    fn newer_intent(&self, question: &IntentQuery) -> Option<IntentSnapshot> {
         if question.environment != self.environment || question.stage != self.stage {
             return None;
         }
--- a/crates/node/src/calls/intent_question.rs
+++ b/crates/node/src/calls/intent_query.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct IntentQuestion {
+pub struct IntentQuery {
     /// The environment.
     pub environment: EnvironmentName,
     /// The stage whose versions are compared.
--- a/crates/node/src/calls/mod.rs
+++ b/crates/node/src/calls/mod.rs
@@ -3,12 +3,12 @@
 
 mod call_client;
 mod call_server;
-mod failed_call;
-mod intent_question;
+mod intent_query;
+mod peer_call_error;
 mod running_calls;
 
 pub use call_client::CallClient;
 pub use call_server::CallServer;
-pub use failed_call::FailedCall;
-pub use intent_question::IntentQuestion;
+pub use intent_query::IntentQuery;
+pub use peer_call_error::PeerCallError;
 pub use running_calls::RunningCalls;
--- a/crates/node/src/calls/failed_call.rs
+++ b/crates/node/src/calls/peer_call_error.rs
@@ -5,7 +5,7 @@
 /// Says why a call to another node brought no answer.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
-pub enum FailedCall {
+pub enum PeerCallError {
     /// The other node did not answer, or refused.
     #[error("the other node did not answer the call")]
     Transport(#[from] jsonrpsee::core::ClientError),
--- a/crates/node/src/command/watch_signals.rs
+++ b/crates/node/src/command/watch_signals.rs
@@ -32,7 +32,7 @@
 
 async fn leave_on(mut signals: Signal, handle: NodeHandle) {
     while signals.recv().await.is_some() {
-        if handle.is_leaving() {
+        if handle.is_shutting_down() {
             log::warn!(event = "cut_short"; "a second signal ends the process at once");
             process::exit(CUT_SHORT);
         }
--- a/crates/node/src/control/control_board.rs
+++ b/crates/node/src/control/control_board.rs
@@ -30,12 +30,12 @@
     }
 
     /// Notes when newer intent was taken over.
-    pub fn note_intent(&self, now: Moment) {
+    pub fn set_intent_since(&self, now: Moment) {
         self.intent_since.store(now.0, Ordering::Relaxed);
     }
 
     /// Lets `change` count a change of ownership.
-    pub fn count_slices<F>(&self, change: F)
+    pub fn update_slices<F>(&self, change: F)
     where
         F: FnOnce(&mut SliceCounts),
     {
--- a/crates/node/src/control/control_inbox.rs
+++ b/crates/node/src/control/control_inbox.rs
@@ -38,7 +38,7 @@
     }
 
     /// Makes room for another datagram after one was taken.
-    pub(super) fn message_taken(&self) {
+    pub(super) fn release_slot(&self) {
         self.waiting.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/node/src/control/control_loop.rs
+++ b/crates/node/src/control/control_loop.rs
@@ -19,11 +19,11 @@
 
 use super::ControlEvent;
 use super::ControlParts;
-use super::end_notice::EndNotice;
-use super::intent_side::IntentSide;
+use super::exit_notifier::ExitNotifier;
+use super::intent_driver::IntentDriver;
 use super::intent_sources::IntentSources;
-use super::ownership_side::OwnershipSide;
-use super::server_watch::ServerWatch;
+use super::ownership_driver::OwnershipDriver;
+use super::server_tracker::ServerTracker;
 
 /// How often the state machines learn that time has passed.
 const TICK: Duration = Duration::from_millis(50);
@@ -33,9 +33,9 @@
 /// Runs both state machines on one thread.
 pub struct ControlLoop {
     parts: ControlParts,
-    intent: IntentSide,
-    ownership: OwnershipSide,
-    server: ServerWatch,
+    intent: IntentDriver,
+    ownership: OwnershipDriver,
+    server: ServerTracker,
     ticked: Moment,
     measured: Moment,
     republishes: bool,
@@ -52,7 +52,7 @@
         let (sender, ended) = watch::channel(false);
         let name = "control".to_owned();
         let thread = thread::Builder::new().name(name).spawn(move || {
-            let _notice = EndNotice(sender);
+            let _notice = ExitNotifier(sender);
             let control = Self::open(parts, seed);
             control.run(&receiver);
         })?;
@@ -62,9 +62,9 @@
     fn open(parts: ControlParts, seed: u64) -> Self {
         let now = parts.boundaries.clock.now();
         Self {
-            intent: IntentSide::open(&parts),
-            ownership: OwnershipSide::open(&parts, seed),
-            server: ServerWatch::default(),
+            intent: IntentDriver::open(&parts),
+            ownership: OwnershipDriver::open(&parts, seed),
+            server: ServerTracker::default(),
             ticked: now,
             measured: now,
             republishes: false,
@@ -110,7 +110,7 @@
                 self.ownership.take_read(now, outcome, &self.parts);
             }
             ControlEvent::Message { from, message } => {
-                self.parts.inbox.message_taken();
+                self.parts.inbox.release_slot();
                 let message = *message;
                 self.own(now, OwnershipEvent::MessageReceived { from, message });
             }
@@ -124,7 +124,7 @@
                 self.plan(now, IntentEvent::KeysChanged(keys));
             }
             ControlEvent::ShutdownRequested => {
-                self.parts.view.leaving.store(true, Ordering::Release);
+                self.parts.view.shutting_down.store(true, Ordering::Release);
                 self.own(now, OwnershipEvent::ShutdownRequested);
             }
             // The loop ends before it comes here.
@@ -137,7 +137,7 @@
         let sources = IntentSources::of(self.ownership.state());
         let found = self.intent.tick(now, &sources, &self.parts);
         self.follow(now, found);
-        if self.server.has_fallen_silent(now) {
+        if self.server.take_lost(now) {
             log::warn!(event = "server_lost"; "the backend server stopped announcing itself");
             self.parts.view.announcement.store(None);
             self.own(now, OwnershipEvent::ServerLost);
@@ -145,7 +145,7 @@
         self.own(now, OwnershipEvent::Tick);
         if now.since(self.measured) >= MEASURE {
             self.measured = now;
-            let measure = self.parts.traffic.measure();
+            let measure = self.parts.traffic.stats();
             self.own(now, OwnershipEvent::TrafficMeasured(measure));
             self.show_controller(now);
         }
--- a/crates/node/src/control/end_notice.rs
+++ b/crates/node/src/control/exit_notifier.rs
@@ -6,9 +6,9 @@
 ///
 /// A node whose control thread is gone would go on answering operators while all its leases lapse;
 /// whoever waits for the node learns of it here and ends the process.
-pub(super) struct EndNotice(pub(super) watch::Sender<bool>);
+pub(super) struct ExitNotifier(pub(super) watch::Sender<bool>);
 
-impl Drop for EndNotice {
+impl Drop for ExitNotifier {
     fn drop(&mut self) {
         self.0.send_replace(true);
     }
--- a/crates/node/src/control/intent_side.rs
+++ b/crates/node/src/control/intent_driver.rs
@@ -16,9 +16,9 @@
 
 use super::ControlEvent;
 use super::ControlParts;
+use super::intent_queries::IntentQueries;
 use super::intent_sources::IntentSources;
 use super::log_tail::LogTail;
-use super::peer_questions::PeerQuestions;
 
 /// How long one read waits at the log service for a record. A log service that is cut off without
 /// a word is noticed this much and a second later; then other nodes are asked, in time for the five
@@ -26,13 +26,13 @@
 const LONG_POLL: Duration = Duration::from_secs(3);
 
 /// Follows the intent stream and carries out what its reader asks.
-pub(super) struct IntentSide {
+pub(super) struct IntentDriver {
     state: IntentState,
     tail: LogTail,
-    questions: PeerQuestions,
+    questions: IntentQueries,
 }
 
-impl IntentSide {
+impl IntentDriver {
     /// Opens the reader.
     pub(super) fn open(parts: &ControlParts) -> Self {
         let config = IntentConfig {
@@ -45,7 +45,7 @@
         Self {
             state: IntentState::open(config),
             tail: LogTail::open(stream, ControlEvent::IntentRead, LONG_POLL),
-            questions: PeerQuestions::default(),
+            questions: IntentQueries::default(),
         }
     }
 
@@ -129,7 +129,7 @@
         );
         parts.snapshot.store(self.state.snapshot().map(Arc::new));
         parts.view.intent.store(Some(in_force.clone()));
-        parts.board.note_intent(now);
+        parts.board.set_intent_since(now);
     }
 
     fn append(&self, data: Vec<u8>, parts: &ControlParts) {
@@ -143,7 +143,7 @@
 
     fn note_answer(&mut self, outcome: &ReadOutcome, parts: &ControlParts) {
         let answered = *outcome != ReadOutcome::Unavailable;
-        if self.tail.note_outcome(outcome) {
+        if self.tail.record_outcome(outcome) {
             log::warn!(event = "log_reachable", reachable = answered; "the log service changed its condition");
         }
         parts.board.log_reachable.store(answered, Ordering::Relaxed);
--- a/crates/node/src/control/peer_questions.rs
+++ b/crates/node/src/control/intent_queries.rs
@@ -9,7 +9,7 @@
 use super::ControlEvent;
 use super::ControlParts;
 use super::intent_sources::IntentSources;
-use crate::calls::IntentQuestion;
+use crate::calls::IntentQuery;
 
 /// How often another node is asked.
 const EVERY: Duration = Duration::from_millis(500);
@@ -17,12 +17,12 @@
 /// Asks one other node after the other, so that a node which starts while the log is down, or
 /// which slept past retention, follows what its neighbours follow.
 #[derive(Debug, Default)]
-pub(super) struct PeerQuestions {
+pub(super) struct IntentQueries {
     asked: Option<Moment>,
     turn: usize,
 }
 
-impl PeerQuestions {
+impl IntentQueries {
     /// Asks the next node when it is time to: in turn one of those that follow the log, the
     /// controller first, and one of all.
     pub(super) fn ask(
@@ -39,7 +39,7 @@
         let Some(to) = self.next_node(sources, parts) else {
             return;
         };
-        let question = IntentQuestion {
+        let question = IntentQuery {
             environment: parts.environment.clone(),
             stage: parts.stage,
             version,
@@ -56,7 +56,7 @@
     }
 }
 
-impl PeerQuestions {
+impl IntentQueries {
     fn next_node(&mut self, sources: &IntentSources, parts: &ControlParts) -> Option<SocketAddr> {
         let turn = self.turn;
         self.turn = self.turn.wrapping_add(1);
--- a/crates/node/src/control/log_tail.rs
+++ b/crates/node/src/control/log_tail.rs
@@ -53,7 +53,7 @@
     }
 
     /// Notes how the last read ended; tells whether the log service's condition changed.
-    pub(super) fn note_outcome(&mut self, outcome: &ReadOutcome) -> bool {
+    pub(super) fn record_outcome(&mut self, outcome: &ReadOutcome) -> bool {
         self.reading = false;
         let was_failing = self.failures > 0;
         let answered = *outcome != ReadOutcome::Unavailable;
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -8,13 +8,13 @@
 mod control_inbox;
 mod control_loop;
 mod control_parts;
-mod end_notice;
-mod intent_side;
+mod exit_notifier;
+mod intent_driver;
+mod intent_queries;
 mod intent_sources;
 mod log_tail;
-mod ownership_side;
-mod peer_questions;
-mod server_watch;
+mod ownership_driver;
+mod server_tracker;
 mod slice_counts;
 
 pub use control_board::ControlBoard;
--- a/crates/node/src/control/ownership_side.rs
+++ b/crates/node/src/control/ownership_driver.rs
@@ -30,13 +30,13 @@
 const LONG_POLL: Duration = Duration::from_secs(10);
 
 /// Runs the ownership state machine and carries out what it asks.
-pub(super) struct OwnershipSide {
+pub(super) struct OwnershipDriver {
     state: Ownership,
     tail: LogTail,
     next: Offset,
 }
 
-impl OwnershipSide {
+impl OwnershipDriver {
     /// Opens the state machine.
     pub(super) fn open(parts: &ControlParts, seed: u64) -> Self {
         let mut config = OwnershipConfig::new(parts.member.clone(), seed);
@@ -62,7 +62,7 @@
 
     /// Takes the outcome of a read.
     pub(super) fn take_read(&mut self, now: Moment, outcome: ReadOutcome, parts: &ControlParts) {
-        self.tail.note_outcome(&outcome);
+        self.tail.record_outcome(&outcome);
         let event = match outcome {
             ReadOutcome::Entries {
                 entries,
@@ -107,7 +107,7 @@
                 parts.traffic.forget_slice(&slice, fence);
                 parts
                     .board
-                    .count_slices(|counts| counts.of(&slice.service).lapsed += 1);
+                    .update_slices(|counts| counts.of(&slice.service).lapsed += 1);
             }
             OwnershipAction::PublishLeases(leases) => parts.view.leases.store(leases),
             OwnershipAction::PublishRouting(routing) => parts.view.routing.store(routing),
@@ -155,7 +155,7 @@
             "a grant was passed to the backend server"
         );
         if outcome == GrantOutcome::Taken {
-            board.count_slices(|counts| counts.of(&order.slice.service).granted += 1);
+            board.update_slices(|counts| counts.of(&order.slice.service).granted += 1);
         }
         answer(
             &inbox,
@@ -175,7 +175,7 @@
     parts.runtime.spawn(async move {
         traffic.drain_slice(&slice, fence, successor.as_ref()).await;
         log::info!(event = "slice_drained", slice:% = slice, fence:% = fence; "a slice was handed over");
-        board.count_slices(|counts| counts.of(&slice.service).released += 1);
+        board.update_slices(|counts| counts.of(&slice.service).released += 1);
         answer(&inbox, OwnershipEvent::SliceDrained { slice, fence });
     });
 }
@@ -185,7 +185,7 @@
         let waited = u64::from(waited.0);
         parts
             .board
-            .count_slices(|counts| counts.of(&slice.service).unavailable_ms += waited);
+            .update_slices(|counts| counts.of(&slice.service).unavailable_ms += waited);
     }
     log::info!(event = "ownership", happening:? = happening; "ownership changed or was refused");
     parts.view.explanations.record(Explanation {
--- a/crates/node/src/control/server_watch.rs
+++ b/crates/node/src/control/server_tracker.rs
@@ -10,12 +10,12 @@
 
 /// Remembers when the backend server was heard last.
 #[derive(Debug, Default)]
-pub(super) struct ServerWatch {
+pub(super) struct ServerTracker {
     heard: Option<Moment>,
     current: Option<Announcement>,
 }
 
-impl ServerWatch {
+impl ServerTracker {
     /// Takes an announcement and tells whether it says anything new.
     pub(super) fn hear(&mut self, now: Moment, announcement: &Announcement) -> bool {
         self.heard = Some(now);
@@ -27,7 +27,7 @@
     }
 
     /// Tells, once, that the backend server has become silent.
-    pub(super) fn has_fallen_silent(&mut self, now: Moment) -> bool {
+    pub(super) fn take_lost(&mut self, now: Moment) -> bool {
         let is_silent = self.heard.is_some_and(|heard| now.since(heard) > SILENCE);
         if is_silent {
             self.heard = None;
--- a/crates/node/src/node/node_handle.rs
+++ b/crates/node/src/node/node_handle.rs
@@ -32,8 +32,8 @@
     }
 
     /// Tells whether a shutdown was started.
-    pub fn is_leaving(&self) -> bool {
-        self.shutdown.has_begun()
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutdown.is_started()
     }
 
     /// Puts the keys of newer settings in force; every other setting needs a restart.
--- a/crates/node/src/node/node_shutdown.rs
+++ b/crates/node/src/node/node_shutdown.rs
@@ -37,7 +37,7 @@
     }
 
     /// Tells whether the shutdown was begun.
-    pub(super) fn has_begun(&self) -> bool {
+    pub(super) fn is_started(&self) -> bool {
         self.started.load(Ordering::Acquire)
     }
 
--- a/crates/node/src/node/spawn_error.rs
+++ b/crates/node/src/node/spawn_error.rs
@@ -5,7 +5,7 @@
 
 use quetzalrack_core::security::KeyError;
 
-use crate::platform::OpenLogError;
+use crate::platform::HttpClientError;
 
 /// Says which part of a node could not be started.
 #[derive(Debug)]
@@ -18,7 +18,7 @@
     /// A connector to the outside can't be made.
     #[error("a connector can't be made")]
     #[diagnostic(code(node::connector))]
-    Connector(#[from] OpenLogError),
+    Connector(#[from] HttpClientError),
     /// A thread can't be started.
     #[error("a thread can't be started")]
     #[diagnostic(code(node::thread))]
--- a/crates/node/src/platform/backend_http.rs
+++ b/crates/node/src/platform/backend_http.rs
@@ -11,7 +11,7 @@
 use reqwest::StatusCode;
 use serde::Deserialize;
 
-use super::OpenLogError;
+use super::HttpClientError;
 use crate::shared::SharedView;
 
 /// How long a grant may take; much less than a lease, and the control state asks again.
@@ -31,7 +31,7 @@
 
 impl BackendHttp {
     /// Opens the way to whichever backend server announces itself.
-    pub fn open(view: Arc<SharedView>) -> Result<Self, OpenLogError> {
+    pub fn open(view: Arc<SharedView>) -> Result<Self, HttpClientError> {
         let http = reqwest::Client::builder()
             .timeout(GRANT_TIMEOUT)
             .no_proxy()
--- a/crates/node/src/platform/boundaries.rs
+++ b/crates/node/src/platform/boundaries.rs
@@ -9,10 +9,10 @@
 use super::BackendHttp;
 use super::BootClock;
 use super::DatagramNetwork;
+use super::HttpClientError;
 use super::HttpLog;
 use super::KeyStore;
 use super::LogCounters;
-use super::OpenLogError;
 use super::PeerNetwork;
 use crate::settings::NodeSettings;
 use crate::shared::SharedView;
@@ -38,7 +38,7 @@
         settings: &NodeSettings,
         keys: Arc<KeyStore>,
         view: Arc<SharedView>,
-    ) -> Result<Self, OpenLogError> {
+    ) -> Result<Self, HttpClientError> {
         let log_counters = Arc::new(LogCounters::default());
         Ok(Self {
             log: Arc::new(HttpLog::open(&settings.log, log_counters.clone())?),
--- a/crates/node/src/platform/open_log_error.rs
+++ b/crates/node/src/platform/http_client_error.rs
@@ -4,4 +4,4 @@
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 #[error("an HTTP connector can't be made")]
-pub struct OpenLogError(#[from] reqwest::Error);
+pub struct HttpClientError(#[from] reqwest::Error);
--- a/crates/node/src/platform/http_log.rs
+++ b/crates/node/src/platform/http_log.rs
@@ -18,8 +18,8 @@
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
 
+use super::HttpClientError;
 use super::LogCounters;
-use super::OpenLogError;
 
 /// How long a connection may take to open.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -67,7 +67,7 @@
 
 impl HttpLog {
     /// Opens a way to the log service at `base`, `http://IP:PORT`.
-    pub fn open(base: &str, counters: Arc<LogCounters>) -> Result<Self, OpenLogError> {
+    pub fn open(base: &str, counters: Arc<LogCounters>) -> Result<Self, HttpClientError> {
         let http = reqwest::Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
             .no_proxy()
--- a/crates/node/src/shared/handover.rs
+++ b/crates/node/src/shared/handover.rs
@@ -15,6 +15,6 @@
     /// The old holder's fence, which the next grant names as its previous one.
     pub fence: Fence,
     /// The gate's memory, encoded by the traffic module.
-    #[serde(with = "hex")]
-    pub memory: Vec<u8>,
+    #[serde(rename = "memory", with = "hex")]
+    pub state: Vec<u8>,
 }
--- a/crates/node/src/shared/shared_view.rs
+++ b/crates/node/src/shared/shared_view.rs
@@ -24,7 +24,7 @@
     /// What the backend server beside this node last announced; none while it is silent.
     pub announcement: ArcSwapOption<Announcement>,
     /// Whether this node is leaving; set once by the first shutdown signal.
-    pub leaving: AtomicBool,
+    pub shutting_down: AtomicBool,
     /// What this node did and why, the newest entries.
     pub explanations: Explanations,
     /// Why requests were refused, the newest entries; kept apart, because an overload would push
--- a/crates/node/src/shared/traffic_control.rs
+++ b/crates/node/src/shared/traffic_control.rs
@@ -32,7 +32,7 @@
     fn receive_handover(&self, handover: Handover);
 
     /// Returns the current counts.
-    fn measure(&self) -> TrafficStats;
+    fn stats(&self) -> TrafficStats;
 
     /// Returns what callers got at this node since it started, by route.
     fn route_samples(&self) -> Vec<RouteSample>;
--- a/crates/node/src/traffic/egress/handovers.rs
+++ b/crates/node/src/traffic/egress/handovers.rs
@@ -49,7 +49,7 @@
         previous: Option<Fence>,
     ) {
         let handover = previous.and_then(|previous| self.handovers.take(slice, previous));
-        let state = handover.and_then(|handover| match IdempotencyState::decode(&handover.memory) {
+        let state = handover.and_then(|handover| match IdempotencyState::decode(&handover.state) {
             Ok(state) => Some(state),
             Err(error) => {
                 log::warn!(event = "handover_unreadable", slice:% = slice, error:% = error; "the idempotency state handed over can't be decoded; starting with an empty one");
@@ -86,7 +86,7 @@
         let handover = Handover {
             slice: slice.clone(),
             fence,
-            memory: state,
+            state,
         };
         if !self.handovers.link.hand_over(successor, handover).await {
             log::warn!(event = "handover_unconfirmed", slice:% = slice; "the successor did not confirm the idempotency state; it may start with an empty one");
--- a/crates/node/src/traffic/traffic_control.rs
+++ b/crates/node/src/traffic/traffic_control.rs
@@ -37,7 +37,7 @@
         self.core.egress.receive_handover(handover);
     }
 
-    fn measure(&self) -> TrafficStats {
+    fn stats(&self) -> TrafficStats {
         self.core.egress.measure()
     }
 
--- a/crates/node/tests/at_most_once.rs
+++ b/crates/node/tests/at_most_once.rs
@@ -146,7 +146,7 @@
     })
     .await;
     let traffic = &rack.nodes[0].traffic;
-    eventually("kept", || traffic.measure().in_flight.0 == 0).await;
+    eventually("kept", || traffic.stats().in_flight.0 == 0).await;
     let again = rack.order(2, "/orders/7", &key, "two banners").await;
     assert_eq!(again.status(), 200);
     assert_eq!(runs(&rack), 1);
@@ -220,9 +220,9 @@
             .unwrap()
             .contains(r#""outcome":"unknown""#)
     );
-    assert_eq!(node.traffic.measure().in_flight.0, 1);
+    assert_eq!(node.traffic.stats().in_flight.0, 1);
     node.server.set_frozen(false);
-    eventually("slot free", || node.traffic.measure().in_flight.0 == 0).await;
+    eventually("slot free", || node.traffic.stats().in_flight.0 == 0).await;
     let again = rack.order(2, "/orders/7", &key, "two banners").await;
     assert_eq!(again.status(), 200);
     assert_eq!(again.text().await.unwrap(), "answer to /orders/7");
--- a/crates/node/tests/overload.rs
+++ b/crates/node/tests/overload.rs
@@ -139,7 +139,7 @@
     assert!(
         rack.nodes
             .iter()
-            .any(|node| node.traffic.measure().limit.0 > 2)
+            .any(|node| node.traffic.stats().limit.0 > 2)
     );
 }
 
@@ -154,7 +154,7 @@
     let traffic = &node.traffic;
     let load = offer(&rack, "/proofs", 500, Duration::from_millis(500));
     let seen = async {
-        eventually("cold", || traffic.measure().state == ServerState::Cold).await;
+        eventually("cold", || traffic.stats().state == ServerState::Cold).await;
         eventually("drained", || node.server.running() <= 2).await;
         node.server.take_peak();
         tokio::time::sleep(Duration::from_millis(150)).await;
@@ -181,9 +181,9 @@
     let answers = futures::future::join_all(calls).await;
     assert!(start.elapsed() < Duration::from_millis(2_500));
     assert!(answers.iter().all(|answer| answer.0 >= 500), "{answers:?}");
-    assert_eq!(node.traffic.measure().in_flight.0, 8);
+    assert_eq!(node.traffic.stats().in_flight.0, 8);
     node.server.set_frozen(false);
-    eventually("free", || node.traffic.measure().in_flight.0 == 0).await;
+    eventually("free", || node.traffic.stats().in_flight.0 == 0).await;
     for n in 0..20 {
         let answer = rack.get(1, &format!("/proofs/g{n}")).await;
         assert_eq!(
--- a/crates/node/tests/strangers.rs
+++ b/crates/node/tests/strangers.rs
@@ -144,7 +144,7 @@
     let handover = Handover {
         slice: "order-book/3".parse().unwrap(),
         fence: "1.0.7".parse().unwrap(),
-        memory: Vec::new(),
+        state: Vec::new(),
     };
     let known = CallClient::new(key_store(&settings("node-2", "suba", &[])));
     assert!(known.hand_over(node.member(), handover.clone()).await);
--- a/crates/node/tests/traffic_support/rack.rs
+++ b/crates/node/tests/traffic_support/rack.rs
@@ -62,7 +62,7 @@
         rack.give_slices(0, 1, 60_000);
         for node in &rack.nodes {
             let traffic = &node.traffic;
-            eventually("ready", || traffic.measure().limit >= SlotCount(2)).await;
+            eventually("ready", || traffic.stats().limit >= SlotCount(2)).await;
         }
         rack
     }
@@ -181,7 +181,7 @@
         };
         for (index, node) in self.nodes.iter().enumerate().take(count) {
             let end = tokio::time::Instant::now() + Duration::from_secs(10);
-            while node.traffic.measure().limit < SlotCount(8) {
+            while node.traffic.stats().limit < SlotCount(8) {
                 assert!(tokio::time::Instant::now() < end, "node {index} never warm");
                 let calls = (0..16).map(|n| {
                     let path = match self.service.as_str() {
--- a/crates/node/tests/whole_answers.rs
+++ b/crates/node/tests/whole_answers.rs
@@ -78,9 +78,9 @@
     let answer = rack.get(1, "/proofs/7?bytes=100000000").await;
     assert_eq!(answer.status(), 200);
     let traffic = &rack.nodes[0].traffic;
-    assert_eq!(traffic.measure().in_flight.0, 1);
+    assert_eq!(traffic.stats().in_flight.0, 1);
     let end = tokio::time::Instant::now() + Duration::from_secs(20);
-    while traffic.measure().in_flight.0 > 0 {
+    while traffic.stats().in_flight.0 > 0 {
         assert!(tokio::time::Instant::now() < end, "the slot is never free");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
@@ -116,7 +116,7 @@
     eventually("cancelled", || server.cancelled().len() == 1).await;
     assert_eq!(server.cancelled()[0], server.runs()[0].attempt);
     let traffic = &rack.nodes[0].traffic;
-    eventually("slot free", || traffic.measure().in_flight.0 == 0).await;
+    eventually("slot free", || traffic.stats().in_flight.0 == 0).await;
 }
 
 /// A body larger than its route accepts: refused before anything is sent when its length is told,
