--- a/crates/mesh/tests/ownership_calls.rs
+++ b/crates/mesh/tests/ownership_calls.rs
@@ -4,19 +4,19 @@
 
 mod ownership_support;
 
-use ownership_support::Trouble;
-use ownership_support::play;
+use ownership_support::FaultKind;
+use ownership_support::run_schedules;
 use quetzalrack_mesh::model::Granting;
 
-fn play_by_call(trouble: Trouble) -> f64 {
-    play(trouble, Granting::ByCall)
+fn run_by_call(faults: FaultKind) -> f64 {
+    run_schedules(faults, Granting::ByCall)
 }
 
 /// Calls fail now and then, and nothing else does: keys have owners within the first seconds, and keep
 /// them.
 #[test]
 fn calm() {
-    let unowned = play_by_call(Trouble::Calm);
+    let unowned = run_by_call(FaultKind::NoFaults);
     assert!(unowned < 6.0, "{unowned} s without an owner");
 }
 
@@ -24,41 +24,41 @@
 /// for, and the server may be granted it late.
 #[test]
 fn kills() {
-    play_by_call(Trouble::Kills);
+    run_by_call(FaultKind::Kills);
 }
 
 /// Processes are told to leave in turn while their servers' keys are renewed.
 #[test]
 fn leaves() {
-    play_by_call(Trouble::Leaves);
+    run_by_call(FaultKind::Shutdowns);
 }
 
 /// Hosts lose power; a late call reaches the next life of the server.
 #[test]
 fn power() {
-    play_by_call(Trouble::Power);
+    run_by_call(FaultKind::PowerLosses);
 }
 
 /// Nodes hear only some of the others, or not the store, and calls go on as long as leases do.
 #[test]
 fn cuts() {
-    play_by_call(Trouble::Cuts);
+    run_by_call(FaultKind::Partitions);
 }
 
 /// The store is away, or does what it was asked and does not say so.
 #[test]
 fn store() {
-    play_by_call(Trouble::Store);
+    run_by_call(FaultKind::StoreFaults);
 }
 
 /// Nodes stand still between deciding on a call and sending it.
 #[test]
 fn freezes() {
-    play_by_call(Trouble::Freezes);
+    run_by_call(FaultKind::Freezes);
 }
 
 /// All of it at once.
 #[test]
 fn everything() {
-    play_by_call(Trouble::Everything);
+    run_by_call(FaultKind::All);
 }
--- a/crates/mesh/tests/ownership_schedules.rs
+++ b/crates/mesh/tests/ownership_schedules.rs
@@ -6,22 +6,22 @@
 
 mod ownership_support;
 
+use ownership_support::FaultKind;
 use ownership_support::Fleet;
 use ownership_support::FleetPlan;
-use ownership_support::Trouble;
 use ownership_support::check;
 use ownership_support::plan;
-use ownership_support::play;
+use ownership_support::run_schedules;
 use quetzalrack_mesh::model::Granting;
 
-fn play_by_heartbeat(trouble: Trouble) -> f64 {
-    play(trouble, Granting::ByHeartbeat)
+fn run_by_heartbeat(faults: FaultKind) -> f64 {
+    run_schedules(faults, Granting::ByHeartbeat)
 }
 
 /// Nothing happens: keys have owners within the first seconds, and keep them.
 #[test]
 fn calm() {
-    let unowned = play_by_heartbeat(Trouble::Calm);
+    let unowned = run_by_heartbeat(FaultKind::NoFaults);
     assert!(unowned < 6.0, "{unowned} s without an owner");
 }
 
@@ -29,70 +29,70 @@
 /// the new process reported that it knew of nothing held, which the leader took for a release.
 #[test]
 fn kills() {
-    play_by_heartbeat(Trouble::Kills);
+    run_by_heartbeat(FaultKind::Kills);
 }
 
 /// Processes are told to leave in turn, the leader's among them, which hands its leadership on.
 #[test]
 fn leaves() {
-    play_by_heartbeat(Trouble::Leaves);
+    run_by_heartbeat(FaultKind::Shutdowns);
 }
 
 /// Hosts lose power, now and then all at once, some for good; nobody is left who remembers.
 #[test]
 fn power() {
-    play_by_heartbeat(Trouble::Power);
+    run_by_heartbeat(FaultKind::PowerLosses);
 }
 
 /// Nodes hear only some of the others, or not the store, each in its own way.
 #[test]
 fn cuts() {
-    play_by_heartbeat(Trouble::Cuts);
+    run_by_heartbeat(FaultKind::Partitions);
 }
 
 /// The store is away, or does what it was asked and does not say so, or does it seconds later.
 #[test]
 fn store() {
-    play_by_heartbeat(Trouble::Store);
+    run_by_heartbeat(FaultKind::StoreFaults);
 }
 
 /// Nodes stand still with answers in their hands and go on as if no time had passed.
 #[test]
 fn freezes() {
-    play_by_heartbeat(Trouble::Freezes);
+    run_by_heartbeat(FaultKind::Freezes);
 }
 
 /// All of it at once.
 #[test]
 fn everything() {
-    play_by_heartbeat(Trouble::Everything);
+    run_by_heartbeat(FaultKind::All);
 }
 
 /// The store is away and the leader is told to leave: keys have no owner until the store is back,
 /// since nobody can be named as the next leader; unless the leader hands its leadership on.
 #[test]
 fn leaves_without_store() {
-    let mut fleet = Fleet::new(plan(1, Trouble::Calm, Granting::ByHeartbeat));
+    let mut fleet = Fleet::new(plan(1, FaultKind::NoFaults, Granting::ByHeartbeat));
     fleet.lose_store(Duration::from_secs(10), Duration::from_secs(14));
-    fleet.leave_leader(Duration::from_secs(14));
-    fleet.play();
-    assert_eq!(fleet.problem, None);
+    fleet.shut_down_leader(Duration::from_secs(14));
+    fleet.run();
+    assert_eq!(fleet.violation, None);
     let unowned = fleet.unowned as f64 / 10_000.0;
     assert!(unowned < 7.0, "{unowned} s without an owner");
 }
 
 /// A host loses power, and its next process and server are given keys. Then a heartbeat of the earlier
-/// process comes in, seconds late: it names the earlier server and nothing held. The leader took that
+/// process comes in, seconds late_share: it names the earlier server and nothing held. The leader took that
 /// for the newest word, gave the keys to another, and two servers held them.
 #[test]
 fn late_words_of_the_dead() {
     for seed in [2_705, 3_741, 4_421, 4_555] {
         let mut fleet = Fleet::new(FleetPlan {
-            late: 0.15,
-            ..plan(seed, Trouble::Power, Granting::ByHeartbeat)
+            late_share: 0.15,
+            ..plan(seed, FaultKind::PowerLosses, Granting::ByHeartbeat)
         });
-        fleet.play();
-        assert_eq!(fleet.problem, None, "seed {seed}");
+        fleet.run();
+        assert_eq!(fleet.violation, None, "seed {seed}");
     }
 }
 
@@ -104,11 +104,11 @@
     for seed in 0..10 {
         let mut fleet = Fleet::new(FleetPlan {
             nodes: 8,
-            ..plan(seed, Trouble::Calm, Granting::ByHeartbeat)
+            ..plan(seed, FaultKind::NoFaults, Granting::ByHeartbeat)
         });
         fleet.lose_leader(Duration::from_secs(12));
-        fleet.play();
-        assert_eq!(fleet.problem, None, "seed {seed}");
+        fleet.run();
+        assert_eq!(fleet.violation, None, "seed {seed}");
         // Three seconds and a half at the start, and the lease of the lost server's keys.
         let unowned = fleet.unowned as f64 / 10_000.0;
         assert!(unowned < 8.0, "seed {seed}: {unowned} s without an owner");
@@ -124,21 +124,21 @@
 #[test]
 fn failed_before() {
     let seeds = [
-        (Trouble::Calm, vec![1_500, 2_776]),
-        (Trouble::Kills, vec![2, 751, 1_472, 1_834, 2_943]),
-        (Trouble::Leaves, vec![533, 1_881]),
-        (Trouble::Power, vec![275, 670, 1_960, 2_812]),
-        (Trouble::Cuts, vec![25, 111, 958]),
-        (Trouble::Store, vec![367]),
-        (Trouble::Freezes, vec![173, 413, 491, 813]),
+        (FaultKind::NoFaults, vec![1_500, 2_776]),
+        (FaultKind::Kills, vec![2, 751, 1_472, 1_834, 2_943]),
+        (FaultKind::Shutdowns, vec![533, 1_881]),
+        (FaultKind::PowerLosses, vec![275, 670, 1_960, 2_812]),
+        (FaultKind::Partitions, vec![25, 111, 958]),
+        (FaultKind::StoreFaults, vec![367]),
+        (FaultKind::Freezes, vec![173, 413, 491, 813]),
         (
-            Trouble::Everything,
+            FaultKind::All,
             vec![2, 934, 1_240, 1_534, 4_036, 4_175, 4_972],
         ),
     ];
-    for (trouble, seeds) in seeds {
+    for (faults, seeds) in seeds {
         for seed in seeds {
-            check(seed, trouble, Granting::ByHeartbeat);
+            check(seed, faults, Granting::ByHeartbeat);
         }
     }
 }
--- a/crates/mesh/tests/ownership_support/fake_server.rs
+++ b/crates/mesh/tests/ownership_support/fake_server.rs
@@ -1,4 +1,4 @@
-//! A backend server that holds ranges as the platform's servers do.
+//! A backend server that holds ranges like the platform's servers.
 
 use std::time::Duration;
 
@@ -13,74 +13,74 @@
 use quetzalrack_mesh::model::ServerIncarnation;
 use quetzalrack_mesh::ownership::HeartbeatAnswer;
 
-/// How much slower the server's clock runs than ours.
-const SLOW: f64 = 1.02;
-/// How long an answer may take to count.
-const ACCEPTED: Duration = Duration::from_secs(1);
+/// The factor by which the server's clock runs slower than the simulation's.
+const CLOCK_DRIFT: f64 = 1.02;
+/// How long after a heartbeat its answer is accepted.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Is a range that the server holds.
+/// A range that the server holds.
 #[derive(Clone, Debug)]
-pub struct Holding {
+pub struct Hold {
     pub held: HeldRange,
-    /// When the hold ends, in true time.
+    /// When the hold ends, by the simulation's clock.
     pub until: Moment,
-    /// When the server has finished releasing it, once it was told to.
-    pub released: Option<Moment>,
+    /// When the server has finished the release that it was told to make.
+    pub released_at: Option<Moment>,
 }
 
-/// Is one life of a server.
+/// One incarnation of a server.
 #[derive(Clone, Debug)]
 pub struct FakeServer {
-    pub life: ServerIncarnation,
+    pub incarnation: ServerIncarnation,
     pub service: &'static str,
-    pub holdings: Vec<Holding>,
+    pub holdings: Vec<Hold>,
     pub draining: bool,
-    /// What it was granted by call; it refuses lower tokens.
-    seen: Vec<HeldRange>,
-    freed: Vec<ReleasedRange>,
+    /// The ranges that it was granted by call; it refuses lower tokens for them.
+    granted: Vec<HeldRange>,
+    released: Vec<ReleasedRange>,
     sequence: u64,
     sent: Vec<(u64, Moment, usize)>,
 }
 
 impl FakeServer {
-    pub fn new(name: &str, born: u64, service: &'static str) -> Self {
+    pub fn new(name: &str, started_ms: u64, service: &'static str) -> Self {
         Self {
-            life: ServerIncarnation {
+            incarnation: ServerIncarnation {
                 id: ServerId(name.into()),
-                started_ms: born,
+                started_ms,
             },
             service,
             holdings: Vec::new(),
             draining: false,
-            seen: Vec::new(),
-            freed: Vec::new(),
+            granted: Vec::new(),
+            released: Vec::new(),
             sequence: 0,
             sent: Vec::new(),
         }
     }
 
-    /// Ends what has run out or was released.
-    pub fn age(&mut self, now: Moment) {
-        let mut freed = Vec::new();
+    /// Removes holds that have expired or were released.
+    pub fn expire(&mut self, now: Moment) {
+        let mut newly_released = Vec::new();
         self.holdings.retain(|holding| {
-            let released = holding.released.is_some_and(|at| now >= at);
+            let released = holding.released_at.is_some_and(|at| now >= at);
             if released {
-                freed.push(ReleasedRange {
+                newly_released.push(ReleasedRange {
                     keys: holding.held.keys,
                     handover: Handover("word".into()),
                 });
             }
             !released && now < holding.until
         });
-        self.freed.extend(freed);
+        self.released.extend(newly_released);
     }
 
     pub fn heartbeat(&mut self, now: Moment) -> ServerHeartbeat {
-        self.age(now);
+        self.expire(now);
         self.sequence += 1;
-        self.sent.push((self.sequence, now, self.freed.len()));
+        self.sent.push((self.sequence, now, self.released.len()));
         ServerHeartbeat {
-            incarnation: self.life.clone(),
+            incarnation: self.incarnation.clone(),
             service: self.service.parse().unwrap(),
             address: "127.0.0.1:1".parse().unwrap(),
             slots: 10,
@@ -88,53 +88,53 @@
             cold: Duration::ZERO,
             sequence: self.sequence,
             holds: self.holdings.iter().map(|holding| holding.held).collect(),
-            released: self.freed.clone(),
+            released: self.released.clone(),
         }
     }
 
-    /// Takes the answer to the heartbeat `sequence`; tells whether something is to be released, so
-    /// that another heartbeat follows soon.
-    pub fn answer(
+    /// Handles the answer to the heartbeat `sequence`. Tells whether a range is to be released, after
+    /// which another heartbeat follows soon.
+    pub fn handle_answer(
         &mut self,
         now: Moment,
         sequence: u64,
         answer: &HeartbeatAnswer,
         work: Duration,
     ) -> bool {
-        self.age(now);
-        let Some((_, sent, told)) = self
+        self.expire(now);
+        let Some((_, sent, reported)) = self
             .sent
             .iter()
-            .find(|(sent, ..)| *sent == sequence)
+            .find(|(number, ..)| *number == sequence)
             .copied()
         else {
             return false;
         };
-        if now.since(sent) > ACCEPTED {
+        if now.since(sent) > ANSWER_TIMEOUT {
             return false;
         }
-        self.freed.drain(..told.min(self.freed.len()));
+        self.released.drain(..reported.min(self.released.len()));
         self.sent.retain(|(later, ..)| *later > sequence);
         let HeartbeatAnswer::Renewed(renewal) = answer else {
             return false;
         };
-        self.take(now, sent, renewal, work);
+        self.apply_renewal(now, sent, renewal, work);
         self.holdings
             .iter()
-            .any(|holding| holding.released.is_some())
+            .any(|holding| holding.released_at.is_some())
     }
 
-    /// Takes a grant by call that arrived at `at`; tells whether it was accepted.
+    /// Handles a grant by call that arrived at `at`. Tells whether it was accepted.
     pub fn grant(&mut self, now: Moment, at: Moment, held: HeldRange, time: Duration) -> bool {
-        self.age(now);
+        self.expire(now);
         let above =
-            |seen: &HeldRange| seen.fence > held.fence && seen.keys.common(&held.keys).is_some();
-        if self.seen.iter().any(above) {
+            |range: &HeldRange| range.fence > held.fence && range.keys.common(&held.keys).is_some();
+        if self.granted.iter().any(above) {
             return false;
         }
-        self.seen.retain(|seen| *seen != held);
-        self.seen.push(held);
-        let mut until = at + time.mul_f64(SLOW);
+        self.granted.retain(|range| *range != held);
+        self.granted.push(held);
+        let mut until = at + time.mul_f64(CLOCK_DRIFT);
         if until <= now {
             return true;
         }
@@ -145,25 +145,25 @@
             }
             self.keep_outside(old, &held.keys);
         }
-        self.holdings.push(Holding {
+        self.holdings.push(Hold {
             held,
             until,
-            released: None,
+            released_at: None,
         });
         true
     }
 
-    /// Releases what it holds of a range once `work` has ended.
+    /// Releases the parts of a range that it holds, after `work`.
     pub fn release(&mut self, now: Moment, held: HeldRange, work: Duration) -> Option<Handover> {
-        self.age(now);
+        self.expire(now);
         let before = std::mem::take(&mut self.holdings);
         for old in before {
             let common = old.held.keys.common(&held.keys);
             if let Some(keys) = common.filter(|_| old.held.fence <= held.fence) {
-                self.holdings.push(Holding {
+                self.holdings.push(Hold {
                     held: HeldRange { keys, ..old.held },
                     until: old.until,
-                    released: Some(old.released.unwrap_or(now + work)),
+                    released_at: Some(old.released_at.unwrap_or(now + work)),
                 });
                 self.keep_outside(old, &held.keys);
             } else {
@@ -173,16 +173,16 @@
         Some(Handover("word".into()))
     }
 
-    fn keep_outside(&mut self, old: Holding, keys: &KeyRange) {
+    fn keep_outside(&mut self, old: Hold, keys: &KeyRange) {
         let parts = old.held.keys.without(keys).into_iter().flatten();
-        self.holdings.extend(parts.map(|keys| Holding {
+        self.holdings.extend(parts.map(|keys| Hold {
             held: HeldRange { keys, ..old.held },
             ..old.clone()
         }));
     }
 
-    fn take(&mut self, now: Moment, sent: Moment, renewal: &Renewal, work: Duration) {
-        let until = sent + renewal.hold.mul_f64(SLOW);
+    fn apply_renewal(&mut self, now: Moment, sent: Moment, renewal: &Renewal, work: Duration) {
+        let until = sent + renewal.hold.mul_f64(CLOCK_DRIFT);
         let before = std::mem::take(&mut self.holdings);
         for range in &renewal.ranges {
             let newer = before.iter().any(|old| {
@@ -190,27 +190,27 @@
                     && old.held.fence > range.held.fence
             });
             if !newer && now < until {
-                self.holdings.push(Holding {
+                self.holdings.push(Hold {
                     held: range.held,
                     until,
-                    released: None,
+                    released_at: None,
                 });
             }
         }
-        // What is left out is finished and released.
+        // Ranges that the renewal does not list are released once their requests have ended.
         for old in before {
-            for keys in left_out(old.held.keys, renewal) {
-                self.holdings.push(Holding {
+            for keys in not_renewed(old.held.keys, renewal) {
+                self.holdings.push(Hold {
                     held: HeldRange { keys, ..old.held },
                     until: old.until,
-                    released: Some(old.released.unwrap_or(now + work)),
+                    released_at: Some(old.released_at.unwrap_or(now + work)),
                 });
             }
         }
     }
 }
 
-fn left_out(keys: KeyRange, renewal: &Renewal) -> Vec<KeyRange> {
+fn not_renewed(keys: KeyRange, renewal: &Renewal) -> Vec<KeyRange> {
     let mut parts = vec![keys];
     for range in &renewal.ranges {
         parts = parts
--- a/crates/mesh/tests/ownership_support/fake_store.rs
+++ b/crates/mesh/tests/ownership_support/fake_store.rs
@@ -1,4 +1,4 @@
-//! The leader's topic.
+//! A store with the leader's topic.
 
 use quetzalrack_mesh::boundary::AppendOutcome;
 use quetzalrack_mesh::ownership::LeaderRead;
--- a/crates/mesh/tests/ownership_support/fleet/calls.rs
+++ b/crates/mesh/tests/ownership_support/fleet/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to servers, with what can become of them on the way.
+//! Calls to servers, which may be lost or executed late.
 
 use std::time::Duration;
 
@@ -15,25 +15,25 @@
 
 use super::Fleet;
 use super::HEARTBEAT;
-use super::Happening;
+use super::SimEvent;
 
-/// How long the answer to a release is waited for.
-const RELEASE_LIMIT: Duration = Duration::from_millis(1_500);
-/// How late a server may obey a call that it does not answer.
-const LATE_MS: u64 = 6_000;
+/// The time limit of a release.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How late a server may execute a call that it does not answer.
+const MAX_DELAY_MS: u64 = 6_000;
 
-/// Is where a call is on its way.
+/// The stages of a call.
 #[derive(Clone, Debug)]
 pub(super) enum CallStage {
-    /// The node has decided on it; a frozen process sends it when it thaws.
-    Begun(KeyCall),
-    /// It is obeyed by whoever listens there now.
-    Obeyed(KeyCallId, Arrived),
-    /// The node learns what became of it.
+    /// The node has decided on the call; a frozen process sends it when it is resumed.
+    Started(KeyCall),
+    /// The server that listens there now executes the call.
+    Executed(KeyCallId, Arrived),
+    /// The node receives the outcome.
     Ended(KeyCallId, KeyCallOutcome),
 }
 
-/// Is a call that has arrived.
+/// A call that has arrived.
 #[derive(Clone, Debug)]
 pub(super) struct Arrived {
     grant: Option<(Moment, Duration)>,
@@ -42,26 +42,31 @@
 }
 
 impl Fleet {
-    pub(super) fn call(&mut self, place: usize, life: u64, stage: CallStage) {
+    pub(super) fn call(&mut self, index: usize, incarnation: u64, stage: CallStage) {
         match stage {
-            CallStage::Begun(call) => self.begin_call(place, life, call),
-            CallStage::Obeyed(id, arrived) => self.obey_call(place, life, id, arrived),
+            CallStage::Started(call) => self.start_call(index, incarnation, call),
+            CallStage::Executed(id, arrived) => self.execute_call(index, incarnation, id, arrived),
             CallStage::Ended(id, outcome) => {
-                let again = CallStage::Ended(id, outcome.clone());
+                let deferred = CallStage::Ended(id, outcome.clone());
                 let event = Event::Server(ServerEvent::CallEnded(id, outcome));
-                self.step(place, life, event, Happening::Call(place, life, again));
+                self.step(
+                    index,
+                    incarnation,
+                    event,
+                    SimEvent::Call(index, incarnation, deferred),
+                );
             }
         }
     }
 
-    fn begin_call(&mut self, place: usize, life: u64, call: KeyCall) {
-        let host = &mut self.nodes[place];
-        if host.life != life || host.machine.is_none() {
+    fn start_call(&mut self, index: usize, incarnation: u64, call: KeyCall) {
+        let host = &mut self.nodes[index];
+        if host.incarnation != incarnation || host.machine.is_none() {
             return;
         }
         if host.frozen {
-            let again = Happening::Call(place, life, CallStage::Begun(call));
-            host.held_up.push(again);
+            let deferred = SimEvent::Call(index, incarnation, CallStage::Started(call));
+            host.deferred.push(deferred);
             return;
         }
         let times = LeaseTimes::for_granting(self.plan.granting, HEARTBEAT);
@@ -72,42 +77,42 @@
                 let time = times.call_hold(now, end);
                 (range.held, time.map(|time| (now, time)), times.call_timeout)
             }
-            KeyRequest::Release(held) => (held, None, RELEASE_LIMIT),
+            KeyRequest::Release(held) => (held, None, RELEASE_TIMEOUT),
         };
-        let is_release = limit == RELEASE_LIMIT;
+        let is_release = limit == RELEASE_TIMEOUT;
         if !listens || (grant.is_none() && !is_release) || self.random.random_bool(0.01) {
             let ended = CallStage::Ended(call.id, KeyCallOutcome::NotSent);
-            let delay = self.spread(20);
-            self.after(delay, Happening::Call(place, life, ended));
+            let delay = self.random_delay(20);
+            self.schedule(delay, SimEvent::Call(index, incarnation, ended));
             return;
         }
         let answered = !self.random.random_bool(0.06);
         let late = !answered && self.random.random_bool(0.5);
         let delay = match late {
-            true => self.spread(LATE_MS),
-            false => self.spread(2),
+            true => self.random_delay(MAX_DELAY_MS),
+            false => self.random_delay(2),
         };
         let arrived = Arrived {
-            grant: grant.map(|(sent, time)| (sent + self.spread(2).min(delay), time)),
+            grant: grant.map(|(sent, time)| (sent + self.random_delay(2).min(delay), time)),
             held,
             answered,
         };
-        let obeyed = CallStage::Obeyed(call.id, arrived);
-        self.after(delay, Happening::Call(place, life, obeyed));
+        let executed = CallStage::Executed(call.id, arrived);
+        self.schedule(delay, SimEvent::Call(index, incarnation, executed));
         if !answered {
             let outcome = KeyCallOutcome::Unanswered {
                 closed: now + limit,
                 time: grant.map_or(Duration::ZERO, |(_, time)| time),
             };
             let ended = CallStage::Ended(call.id, outcome);
-            self.after(limit, Happening::Call(place, life, ended));
+            self.schedule(limit, SimEvent::Call(index, incarnation, ended));
         }
     }
 
-    fn obey_call(&mut self, place: usize, life: u64, id: KeyCallId, arrived: Arrived) {
+    fn execute_call(&mut self, index: usize, incarnation: u64, id: KeyCallId, arrived: Arrived) {
         let now = self.now;
-        let work = self.spread(300);
-        let Some(server) = self.nodes[place].server.as_mut() else {
+        let work = self.random_delay(300);
+        let Some(server) = self.nodes[index].server.as_mut() else {
             return;
         };
         let (outcome, delay) = match arrived.grant {
@@ -127,13 +132,13 @@
                 work,
             ),
         };
-        if self.traced {
-            println!("{now} server-{place} obeys {arrived:?}: {outcome:?}");
+        if self.trace {
+            println!("{now} server-{index} executes {arrived:?}: {outcome:?}");
         }
-        self.check(place);
+        self.check(index);
         if arrived.answered {
             let ended = CallStage::Ended(id, outcome);
-            self.after(delay, Happening::Call(place, life, ended));
+            self.schedule(delay, SimEvent::Call(index, incarnation, ended));
         }
     }
 }
--- a/crates/mesh/tests/ownership_support/fleet/checks.rs
+++ b/crates/mesh/tests/ownership_support/fleet/checks.rs
@@ -1,19 +1,19 @@
-//! What must hold after every word to a server.
+//! Invariants checked after every grant, renewal or release at a server.
 
 use quetzalrack_mesh::model::KeyRange;
 
 use super::Fleet;
 
 impl Fleet {
-    /// Looks whether another server holds what this one has just taken, and whether tokens rise.
-    pub(super) fn check(&mut self, place: usize) {
+    /// Checks that no other server holds a range that this one holds, and that tokens only rise.
+    pub(super) fn check(&mut self, index: usize) {
         let now = self.now;
         for host in &mut self.nodes {
             if let Some(server) = &mut host.server {
-                server.age(now);
+                server.expire(now);
             }
         }
-        let Some(server) = &self.nodes[place].server else {
+        let Some(server) = &self.nodes[index].server else {
             return;
         };
         for holding in &server.holdings {
@@ -21,13 +21,13 @@
                 .nodes
                 .iter()
                 .enumerate()
-                .filter(|(other, _)| *other != place)
+                .filter(|(other, _)| *other != index)
             {
                 let others = host.server.iter().flat_map(|server| &server.holdings);
                 for theirs in others {
                     if let Some(keys) = theirs.held.keys.common(&holding.held.keys) {
-                        self.problem = Some(format!(
-                            "{}: node-{place} ({}) and node-{other} ({}) both hold {keys}",
+                        self.violation = Some(format!(
+                            "{}: node-{index} ({}) and node-{other} ({}) both hold {keys}",
                             self.now, holding.held.fence, theirs.held.fence
                         ));
                     }
@@ -40,15 +40,15 @@
             .map(|holding| (holding.held.keys, holding.held.fence.0))
             .collect();
         for (keys, fence) in granted {
-            // A sample of keys is enough: ranges have ends.
+            // The ends and the middle of each range are sample enough.
             for key in [
                 keys.first,
                 keys.first + (keys.last - keys.first) / 2,
                 keys.last,
             ] {
-                let highest = self.highest.entry(key).or_default();
+                let highest = self.highest_fences.entry(key).or_default();
                 if fence < *highest {
-                    self.problem =
+                    self.violation =
                         Some(format!("{now}: key {key} falls from {highest} to {fence}"));
                 }
                 self.grants += u64::from(fence > *highest);
--- a/crates/mesh/tests/ownership_support/fleet/mod.rs
+++ b/crates/mesh/tests/ownership_support/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! The fleet.
+//! The simulated fleet.
 
 mod calls;
 mod checks;
-mod troubles;
+mod faults;
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -36,113 +36,113 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use super::Trouble;
+use super::FaultKind;
 use super::fake_server::FakeServer;
 use super::fake_store::FakeStore;
 use super::tracing;
 use calls::CallStage;
 
-/// The service that is divided by key.
+/// The service whose keys have owners.
 const KEYED: &str = "keyed";
 const OTHER: &str = "other";
 const HEARTBEAT: Duration = Duration::from_millis(870);
-/// The last part of a schedule, long after its last trouble.
-const LATELY: Duration = Duration::from_secs(8);
+/// The last part of a schedule, long after its last fault.
+const FINAL_PERIOD: Duration = Duration::from_secs(8);
 const TICK: Duration = Duration::from_millis(100);
 
-/// Says what a schedule is like.
+/// The parameters of a schedule.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetPlan {
-    /// The share of datagrams that come up to four seconds late.
-    pub late: f64,
+    /// The share of messages between nodes that arrive up to four seconds late.
+    pub late_share: f64,
     pub seed: u64,
     /// How servers are granted keys.
     pub granting: Granting,
     pub nodes: usize,
-    pub trouble: Trouble,
-    /// How long troubles come.
-    pub troubled: Duration,
-    /// How long the fleet is left alone after that.
-    pub calm: Duration,
+    pub faults: FaultKind,
+    /// How long faults are injected.
+    pub fault_time: Duration,
+    /// How long the fleet runs without new faults after that.
+    pub recovery_time: Duration,
 }
 
-/// Is a whole fleet.
+/// A whole fleet.
 pub struct Fleet {
     plan: FleetPlan,
     random: ChaCha8Rng,
     now: Moment,
     queue: BinaryHeap<Reverse<(Moment, u64, usize)>>,
-    happenings: Vec<Option<Happening>>,
+    events: Vec<Option<SimEvent>>,
     nodes: Vec<Host>,
     store: FakeStore,
     store_down: bool,
-    store_cut: BTreeSet<usize>,
-    store_lossy: bool,
-    cuts: BTreeSet<(usize, usize)>,
-    highest: BTreeMap<u16, u64>,
-    /// The most keys that had an owner at once in the last seconds: a late heartbeat costs a server
-    /// its keys for a moment, so one look at the very end would tell little.
-    pub lately: u32,
+    store_partitions: BTreeSet<usize>,
+    store_loses_responses: bool,
+    partitions: BTreeSet<(usize, usize)>,
+    highest_fences: BTreeMap<u16, u64>,
+    /// The largest number of keys that had an owner at once in the final period. A late heartbeat costs a
+    /// server its keys for a moment, so one sample at the end is not representative.
+    pub final_owned: u32,
     /// Time without an owner, summed over samples, in thousandths of the keys.
     pub unowned: u64,
     pub grants: u64,
-    pub problem: Option<String>,
-    /// Whether each step is printed, for the cause of a failure.
-    traced: bool,
+    pub violation: Option<String>,
+    /// Whether each step is printed, to find the cause of a failure.
+    trace: bool,
 }
 
 struct Host {
     name: NodeName,
     machine: Option<NodeMachine>,
-    life: u64,
+    incarnation: u64,
     frozen: bool,
-    held_up: Vec<Happening>,
+    deferred: Vec<SimEvent>,
     server: Option<FakeServer>,
-    /// Distinguishes the timers of different server lives.
+    /// Whether the host is lost permanently.
     gone: bool,
 }
 
 #[derive(Clone, Debug)]
-enum Happening {
+enum SimEvent {
     Tick(usize, u64),
-    Beat(usize, u64),
-    Datagram(usize, SocketAddr, PeerMessage),
-    Heartbeat(usize, u64),
-    Heard(usize, ServerHeartbeat),
-    Answered(usize, u64, u64, HeartbeatAnswer),
+    HeartbeatDue(usize, u64),
+    MessageReceived(usize, SocketAddr, PeerMessage),
+    SendHeartbeat(usize, u64),
+    HeartbeatReceived(usize, ServerHeartbeat),
+    HeartbeatAnswered(usize, u64, u64, HeartbeatAnswer),
     Call(usize, u64, CallStage),
-    StoreRead(usize, u64, Moment),
-    StoreWrite(usize, u64, u64, LeaderRecord),
+    ReadStore(usize, u64, Moment),
+    WriteStore(usize, u64, u64, LeaderRecord),
     ReadDone(usize, u64, Moment, LeaderRead),
     WriteDone(usize, u64, AppendOutcome),
-    StoreGoes,
-    LeaderLeaves,
-    LeaderLost,
-    Leave(usize, u64),
-    Gone(usize, u64),
+    LoseStore,
+    ShutDownLeader,
+    LoseLeader,
+    ShutDown(usize, u64),
+    ProcessEnded(usize, u64),
     StartNode(usize),
     StartServer(usize),
-    Trouble,
-    Heal(Cure),
+    InjectFaults,
+    Recover(Recovery),
 }
 
 #[derive(Clone, Debug)]
-enum Cure {
-    Thaw(usize),
+enum Recovery {
+    Resume(usize),
     Link(usize, usize),
     Store,
-    StoreFor(usize),
-    StoreAnswers,
+    StoreLink(usize),
+    StoreResponses,
 }
 
 impl Fleet {
     pub fn new(plan: FleetPlan) -> Self {
-        let nodes = (0..plan.nodes).map(|place| Host {
-            name: format!("node-{place}").parse().unwrap(),
+        let nodes = (0..plan.nodes).map(|index| Host {
+            name: format!("node-{index}").parse().unwrap(),
             machine: None,
-            life: 0,
+            incarnation: 0,
             frozen: false,
-            held_up: Vec::new(),
+            deferred: Vec::new(),
             server: None,
             gone: false,
         });
@@ -150,81 +150,81 @@
             random: ChaCha8Rng::seed_from_u64(plan.seed),
             now: Moment(1_000_000_000),
             queue: BinaryHeap::new(),
-            happenings: Vec::new(),
+            events: Vec::new(),
             nodes: nodes.collect(),
             store: FakeStore::default(),
             store_down: false,
-            store_cut: BTreeSet::new(),
-            store_lossy: false,
-            cuts: BTreeSet::new(),
-            highest: BTreeMap::new(),
-            lately: 0,
+            store_partitions: BTreeSet::new(),
+            store_loses_responses: false,
+            partitions: BTreeSet::new(),
+            highest_fences: BTreeMap::new(),
+            final_owned: 0,
             unowned: 0,
             grants: 0,
-            problem: None,
-            traced: std::env::var_os("QUETZALRACK_TRACE").is_some(),
+            violation: None,
+            trace: std::env::var_os("QUETZALRACK_TRACE").is_some(),
             plan,
         };
-        for place in 0..plan.nodes {
-            let delay = fleet.spread(300);
-            fleet.after(delay, Happening::StartServer(place));
-            let delay = fleet.spread(300);
-            fleet.after(delay, Happening::StartNode(place));
+        for index in 0..plan.nodes {
+            let delay = fleet.random_delay(300);
+            fleet.schedule(delay, SimEvent::StartServer(index));
+            let delay = fleet.random_delay(300);
+            fleet.schedule(delay, SimEvent::StartNode(index));
         }
-        if plan.trouble != Trouble::Calm {
-            let delay = Duration::from_secs(6) + fleet.spread(2_000);
-            fleet.after(delay, Happening::Trouble);
+        if plan.faults != FaultKind::NoFaults {
+            let delay = Duration::from_secs(6) + fleet.random_delay(2_000);
+            fleet.schedule(delay, SimEvent::InjectFaults);
         }
         fleet
     }
 
-    /// Takes the store away for everyone at a time from the start, for a while.
+    /// Makes the store unreachable for all nodes from a time after the start, for a while.
     pub fn lose_store(&mut self, at: Duration, span: Duration) {
-        self.after(at, Happening::StoreGoes);
-        self.after(at + span, Happening::Heal(Cure::Store));
+        self.schedule(at, SimEvent::LoseStore);
+        self.schedule(at + span, SimEvent::Recover(Recovery::Store));
     }
 
-    /// Tells the leader's process to leave.
-    pub fn leave_leader(&mut self, at: Duration) {
-        self.after(at, Happening::LeaderLeaves);
+    /// Tells the leader's process to shut down.
+    pub fn shut_down_leader(&mut self, at: Duration) {
+        self.schedule(at, SimEvent::ShutDownLeader);
     }
 
-    /// Takes the leader's host and its server away for good.
+    /// Removes the leader's host and its server permanently.
     pub fn lose_leader(&mut self, at: Duration) {
-        self.after(at, Happening::LeaderLost);
+        self.schedule(at, SimEvent::LoseLeader);
     }
 
-    /// Plays the schedule.
-    pub fn play(&mut self) {
-        let end = self.now + self.plan.troubled + self.plan.calm;
-        let mut sampled = self.now;
-        while let Some(Reverse((at, _, place))) = self.queue.pop() {
-            if at > end || self.problem.is_some() {
+    /// Runs the schedule.
+    pub fn run(&mut self) {
+        let end = self.now + self.plan.fault_time + self.plan.recovery_time;
+        let mut sampled_at = self.now;
+        while let Some(Reverse((at, _, index))) = self.queue.pop() {
+            if at > end || self.violation.is_some() {
                 break;
             }
             self.now = at;
-            if let Some(happening) = self.happenings[place].take() {
-                self.happen(happening);
+            if let Some(event) = self.events[index].take() {
+                self.handle(event);
             }
-            if self.now.since(sampled) >= Duration::from_millis(100) {
-                sampled = self.now;
+            if self.now.since(sampled_at) >= Duration::from_millis(100) {
+                sampled_at = self.now;
                 let owned = self.owned();
                 self.unowned += u64::from(65_536_u32.saturating_sub(owned)) * 1_000 / 65_536;
-                if end.since(self.now) < LATELY {
-                    self.lately = self.lately.max(owned);
+                if end.since(self.now) < FINAL_PERIOD {
+                    self.final_owned = self.final_owned.max(owned);
                 }
             }
         }
     }
 
-    /// Returns how many pairs of nodes have the same version of a table, and which node, if any, has
-    /// another table than one with the same version.
+    /// Returns the number of compared pairs of tables with the same version, and the version of the first
+    /// pair that differs, if any.
     pub fn compare_tables(&self) -> (u32, Option<String>) {
         let running = self.nodes.iter().filter_map(|host| host.machine.as_ref());
         let tables: Vec<&Directory> = running.map(NodeMachine::directory).collect();
         let mut compared = 0;
-        for (place, one) in tables.iter().enumerate() {
-            for other in &tables[place + 1..] {
+        for (index, one) in tables.iter().enumerate() {
+            for other in &tables[index + 1..] {
                 if one.epoch != other.epoch {
                     continue;
                 }
@@ -257,13 +257,13 @@
         (compared, None)
     }
 
-    /// Returns how many keys have an owner now.
+    /// Returns the number of keys that have an owner now.
     pub fn owned(&mut self) -> u32 {
         let now = self.now;
         let mut owned = 0;
         for host in &mut self.nodes {
             if let Some(server) = &mut host.server {
-                server.age(now);
+                server.expire(now);
                 owned += server
                     .holdings
                     .iter()
@@ -274,89 +274,108 @@
         owned
     }
 
-    fn spread(&mut self, most_ms: u64) -> Duration {
-        Duration::from_micros(self.random.random_range(0..=most_ms * 1_000))
+    fn random_delay(&mut self, max_ms: u64) -> Duration {
+        Duration::from_micros(self.random.random_range(0..=max_ms * 1_000))
     }
 
-    fn after(&mut self, delay: Duration, happening: Happening) {
-        let place = self.happenings.len();
-        self.happenings.push(Some(happening));
+    fn schedule(&mut self, delay: Duration, event: SimEvent) {
+        let index = self.events.len();
+        self.events.push(Some(event));
         self.queue
-            .push(Reverse((self.now + delay, place as u64, place)));
+            .push(Reverse((self.now + delay, index as u64, index)));
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::StoreGoes => self.store_down = true,
-            Happening::LeaderLeaves => {
-                if let Some(place) = self.leader() {
-                    self.strike(Trouble::Leaves, place);
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::LoseStore => self.store_down = true,
+            SimEvent::ShutDownLeader => {
+                if let Some(index) = self.leader() {
+                    self.inject(FaultKind::Shutdowns, index);
                 }
             }
-            Happening::LeaderLost => {
-                if let Some(place) = self.leader() {
-                    let host = &mut self.nodes[place];
+            SimEvent::LoseLeader => {
+                if let Some(index) = self.leader() {
+                    let host = &mut self.nodes[index];
                     host.machine = None;
-                    host.held_up.clear();
+                    host.deferred.clear();
                     host.server = None;
                     host.gone = true;
                 }
             }
-            Happening::Leave(place, life) => {
-                self.step(place, life, Event::Shutdown, Happening::Leave(place, life));
+            SimEvent::ShutDown(index, incarnation) => {
+                self.step(
+                    index,
+                    incarnation,
+                    Event::Shutdown,
+                    SimEvent::ShutDown(index, incarnation),
+                );
             }
-            Happening::Gone(place, life) => {
-                if self.nodes[place].life == life && self.nodes[place].machine.take().is_some() {
-                    self.nodes[place].held_up.clear();
-                    let delay = Duration::from_millis(100) + self.spread(1_000);
-                    self.after(delay, Happening::StartNode(place));
+            SimEvent::ProcessEnded(index, incarnation) => {
+                if self.nodes[index].incarnation == incarnation
+                    && self.nodes[index].machine.take().is_some()
+                {
+                    self.nodes[index].deferred.clear();
+                    let delay = Duration::from_millis(100) + self.random_delay(1_000);
+                    self.schedule(delay, SimEvent::StartNode(index));
                 }
             }
-            Happening::StartNode(place) => self.start_node(place),
-            Happening::StartServer(place) => self.start_server(place),
-            Happening::Tick(place, life) => {
-                if self.step(place, life, Event::Tick, Happening::Tick(place, life)) {
-                    self.after(TICK, Happening::Tick(place, life));
+            SimEvent::StartNode(index) => self.start_node(index),
+            SimEvent::StartServer(index) => self.start_server(index),
+            SimEvent::Tick(index, incarnation) => {
+                if self.step(
+                    index,
+                    incarnation,
+                    Event::Tick,
+                    SimEvent::Tick(index, incarnation),
+                ) {
+                    self.schedule(TICK, SimEvent::Tick(index, incarnation));
                 }
             }
-            Happening::Beat(place, life) => {
-                self.step(place, life, Event::Tick, Happening::Beat(place, life));
+            SimEvent::HeartbeatDue(index, incarnation) => {
+                self.step(
+                    index,
+                    incarnation,
+                    Event::Tick,
+                    SimEvent::HeartbeatDue(index, incarnation),
+                );
             }
-            Happening::Datagram(place, from, message) => {
-                let life = self.nodes[place].life;
-                let again = Happening::Datagram(place, from, message.clone());
-                self.step(place, life, Event::Message(from, message), again);
+            SimEvent::MessageReceived(index, from, message) => {
+                let incarnation = self.nodes[index].incarnation;
+                let deferred = SimEvent::MessageReceived(index, from, message.clone());
+                self.step(index, incarnation, Event::Message(from, message), deferred);
             }
-            Happening::Heartbeat(place, born) => self.heartbeat(place, born),
-            Happening::Heard(place, heartbeat) => {
-                let life = self.nodes[place].life;
-                let again = Happening::Heard(place, heartbeat.clone());
+            SimEvent::SendHeartbeat(index, started_ms) => self.send_heartbeat(index, started_ms),
+            SimEvent::HeartbeatReceived(index, heartbeat) => {
+                let incarnation = self.nodes[index].incarnation;
+                let deferred = SimEvent::HeartbeatReceived(index, heartbeat.clone());
                 let event = Event::Server(ServerEvent::Heartbeat(heartbeat));
-                self.step(place, life, event, again);
+                self.step(index, incarnation, event, deferred);
             }
-            Happening::Answered(place, born, sequence, answer) => {
-                self.answered(place, born, sequence, &answer);
+            SimEvent::HeartbeatAnswered(index, started_ms, sequence, answer) => {
+                self.answer_heartbeat(index, started_ms, sequence, &answer);
             }
-            Happening::Call(place, life, stage) => self.call(place, life, stage),
-            Happening::StoreRead(place, life, asked) => {
-                let read = match self.reaches_store(place) {
+            SimEvent::Call(index, incarnation, stage) => self.call(index, incarnation, stage),
+            SimEvent::ReadStore(index, incarnation, asked) => {
+                let read = match self.reaches_store(index) {
                     true => self.store.newest(),
                     false => LeaderRead::Unavailable,
                 };
-                let delay = self.spread(20);
-                self.after(delay, Happening::ReadDone(place, life, asked, read));
+                let delay = self.random_delay(20);
+                self.schedule(delay, SimEvent::ReadDone(index, incarnation, asked, read));
             }
-            Happening::StoreWrite(place, life, end, record) => self.write(place, life, end, record),
-            Happening::ReadDone(place, life, asked, read) => {
-                let again = Happening::ReadDone(place, life, asked, read.clone());
-                self.step(place, life, Event::LeaderRead(asked, read), again);
+            SimEvent::WriteStore(index, incarnation, end, record) => {
+                self.write(index, incarnation, end, record)
             }
-            Happening::WriteDone(place, life, outcome) => {
-                let again = Happening::WriteDone(place, life, outcome);
-                self.step(place, life, Event::LeaderWritten(outcome), again);
+            SimEvent::ReadDone(index, incarnation, asked, read) => {
+                let deferred = SimEvent::ReadDone(index, incarnation, asked, read.clone());
+                self.step(index, incarnation, Event::LeaderRead(asked, read), deferred);
             }
-            Happening::Trouble => self.trouble(),
-            Happening::Heal(cure) => self.heal(cure),
+            SimEvent::WriteDone(index, incarnation, outcome) => {
+                let deferred = SimEvent::WriteDone(index, incarnation, outcome);
+                self.step(index, incarnation, Event::LeaderWritten(outcome), deferred);
+            }
+            SimEvent::InjectFaults => self.inject_faults(),
+            SimEvent::Recover(recovery) => self.recover(recovery),
         }
     }
 
@@ -365,59 +384,59 @@
         self.nodes.iter().position(leads)
     }
 
-    fn write(&mut self, place: usize, life: u64, end: u64, record: LeaderRecord) {
-        if !self.reaches_store(place) {
+    fn write(&mut self, index: usize, incarnation: u64, end: u64, record: LeaderRecord) {
+        if !self.reaches_store(index) {
             let outcome = match self.random.random_bool(0.5) {
                 true => AppendOutcome::Refused,
                 false => AppendOutcome::Unknown,
             };
-            let delay = self.spread(500);
-            self.after(delay, Happening::WriteDone(place, life, outcome));
+            let delay = self.random_delay(500);
+            self.schedule(delay, SimEvent::WriteDone(index, incarnation, outcome));
             return;
         }
-        if self.store_lossy && self.random.random_bool(0.5) {
-            // Done now or seconds later, and not answered.
+        if self.store_loses_responses && self.random.random_bool(0.5) {
+            // The append takes effect now or seconds later, and gets no response.
             if self.random.random_bool(0.5) {
                 self.store.append(end, record);
             } else {
-                let delay = Duration::from_secs(1) + self.spread(4_000);
-                self.after(delay, Happening::StoreWrite(place, u64::MAX, end, record));
+                let delay = Duration::from_secs(1) + self.random_delay(4_000);
+                self.schedule(delay, SimEvent::WriteStore(index, u64::MAX, end, record));
             }
             let delay = Duration::from_millis(1_500);
-            self.after(
+            self.schedule(
                 delay,
-                Happening::WriteDone(place, life, AppendOutcome::Unknown),
+                SimEvent::WriteDone(index, incarnation, AppendOutcome::Unknown),
             );
             return;
         }
         let outcome = self.store.append(end, record);
-        let delay = self.spread(20);
-        self.after(delay, Happening::WriteDone(place, life, outcome));
+        let delay = self.random_delay(20);
+        self.schedule(delay, SimEvent::WriteDone(index, incarnation, outcome));
     }
 
-    fn reaches_store(&self, place: usize) -> bool {
-        !self.store_down && !self.store_cut.contains(&place)
+    fn reaches_store(&self, index: usize) -> bool {
+        !self.store_down && !self.store_partitions.contains(&index)
     }
 
-    fn start_node(&mut self, place: usize) {
-        let host = &mut self.nodes[place];
+    fn start_node(&mut self, index: usize) {
+        let host = &mut self.nodes[index];
         if host.gone || host.machine.is_some() {
             return;
         }
-        host.life += 1;
-        let life = host.life;
+        host.incarnation += 1;
+        let incarnation = host.incarnation;
         let profile = NodeProfile {
             incarnation: NodeIncarnation {
                 node: host.name.clone(),
-                nonce: life,
+                nonce: incarnation,
             },
-            zone: format!("zone-{}", place % 4).parse().unwrap(),
-            control: address(place),
-            traffic: address(place),
-            service: service(place).parse().unwrap(),
+            zone: format!("zone-{}", index % 4).parse().unwrap(),
+            control: address(index),
+            traffic: address(index),
+            service: service(index).parse().unwrap(),
             heartbeat: HEARTBEAT,
             granting: self.plan.granting,
-            narrow_link: place % 3 == 2,
+            narrow_link: index % 3 == 2,
             seed: self.random.random(),
         };
         let mut machine = NodeMachine::new(
@@ -426,89 +445,95 @@
             LeaseTimes::for_granting(self.plan.granting, HEARTBEAT),
         );
         machine.step(self.now, Event::Intent(intent()));
-        self.nodes[place].machine = Some(machine);
-        let delay = self.spread(100);
-        self.after(delay, Happening::Tick(place, life));
+        self.nodes[index].machine = Some(machine);
+        let delay = self.random_delay(100);
+        self.schedule(delay, SimEvent::Tick(index, incarnation));
     }
 
-    fn start_server(&mut self, place: usize) {
-        let host = &mut self.nodes[place];
+    fn start_server(&mut self, index: usize) {
+        let host = &mut self.nodes[index];
         if host.gone || host.server.is_some() {
             return;
         }
-        let born = self.now.0 / 1_000_000;
+        let started_ms = self.now.0 / 1_000_000;
         host.server = Some(FakeServer::new(
-            &format!("server-{place}"),
-            born,
-            service(place),
+            &format!("server-{index}"),
+            started_ms,
+            service(index),
         ));
-        let delay = self.spread(300);
-        self.after(delay, Happening::Heartbeat(place, born));
+        let delay = self.random_delay(300);
+        self.schedule(delay, SimEvent::SendHeartbeat(index, started_ms));
     }
 
-    fn heartbeat(&mut self, place: usize, born: u64) {
+    fn send_heartbeat(&mut self, index: usize, started_ms: u64) {
         let now = self.now;
-        let Some(server) = self.nodes[place]
+        let Some(server) = self.nodes[index]
             .server
             .as_mut()
-            .filter(|server| server.life.started_ms == born)
+            .filter(|server| server.incarnation.started_ms == started_ms)
         else {
             return;
         };
         let heartbeat = server.heartbeat(now);
         let late = self.random.random_bool(0.03);
         let delay = match late {
-            true => self.spread(2_500),
-            false => self.spread(2),
+            true => self.random_delay(2_500),
+            false => self.random_delay(2),
         };
-        if self.traced {
+        if self.trace {
             let holds = tracing::ranges(&heartbeat.holds);
             let sequence = heartbeat.sequence;
             println!(
-                "{} server-{place} beat {sequence} heard in {delay:?} {holds}",
+                "{} server-{index} heartbeat {sequence} received in {delay:?} {holds}",
                 self.now
             );
         }
-        self.after(delay, Happening::Heard(place, heartbeat));
-        let next = HEARTBEAT + self.spread(60);
-        self.after(next, Happening::Heartbeat(place, born));
+        self.schedule(delay, SimEvent::HeartbeatReceived(index, heartbeat));
+        let next = HEARTBEAT + self.random_delay(60);
+        self.schedule(next, SimEvent::SendHeartbeat(index, started_ms));
     }
 
-    fn answered(&mut self, place: usize, born: u64, sequence: u64, answer: &HeartbeatAnswer) {
+    fn answer_heartbeat(
+        &mut self,
+        index: usize,
+        started_ms: u64,
+        sequence: u64,
+        answer: &HeartbeatAnswer,
+    ) {
         let now = self.now;
-        let work = self.spread(300);
-        let Some(server) = self.nodes[place]
+        let work = self.random_delay(300);
+        let Some(server) = self.nodes[index]
             .server
             .as_mut()
-            .filter(|server| server.life.started_ms == born)
+            .filter(|server| server.incarnation.started_ms == started_ms)
         else {
             return;
         };
-        let releasing = server.answer(now, sequence, answer, work);
-        self.check(place);
+        let releasing = server.handle_answer(now, sequence, answer, work);
+        self.check(index);
         if releasing {
-            let heartbeat = self.nodes[place]
+            let heartbeat = self.nodes[index]
                 .server
                 .as_mut()
                 .map(|server| server.heartbeat(now));
             if let Some(heartbeat) = heartbeat {
-                let delay = Duration::from_millis(60) + self.spread(40);
-                self.after(delay, Happening::Heard(place, heartbeat));
+                let delay = Duration::from_millis(60) + self.random_delay(40);
+                self.schedule(delay, SimEvent::HeartbeatReceived(index, heartbeat));
             }
         }
     }
 
-    /// Steps a node; a frozen one takes it up when it thaws. Tells whether the node still lives.
-    fn step(&mut self, place: usize, life: u64, event: Event, again: Happening) -> bool {
-        let host = &mut self.nodes[place];
-        if host.life != life || host.machine.is_none() {
+    /// Steps a node; a frozen one handles the event when it is resumed. Tells whether the event was handled.
+    fn step(&mut self, index: usize, incarnation: u64, event: Event, deferred: SimEvent) -> bool {
+        let host = &mut self.nodes[index];
+        if host.incarnation != incarnation || host.machine.is_none() {
             return false;
         }
         if host.frozen {
-            host.held_up.push(again);
+            host.deferred.push(deferred);
             return false;
         }
-        let heard = match &event {
+        let heartbeat = match &event {
             Event::Server(ServerEvent::Heartbeat(heartbeat)) => {
                 Some((heartbeat.incarnation.started_ms, heartbeat.sequence))
             }
@@ -520,41 +545,56 @@
         let actions = machine.step(self.now, event);
         let due = machine.heartbeat_due().since(self.now);
         for action in actions {
-            self.act(place, life, heard, action);
+            self.act(index, incarnation, heartbeat, action);
         }
         if due < TICK {
-            self.after(due, Happening::Beat(place, life));
+            self.schedule(due, SimEvent::HeartbeatDue(index, incarnation));
         }
         true
     }
 
-    fn act(&mut self, place: usize, life: u64, heard: Option<(u64, u64)>, action: Action) {
-        if self.traced {
+    fn act(
+        &mut self,
+        index: usize,
+        incarnation: u64,
+        heartbeat: Option<(u64, u64)>,
+        action: Action,
+    ) {
+        if self.trace {
             println!(
-                "{} node-{place}@{life} {heard:?} {}",
+                "{} node-{index}@{incarnation} {heartbeat:?} {}",
                 self.now,
                 tracing::line(&action)
             );
         }
         match action {
-            Action::Send(to, message) => self.send(place, to, &message),
+            Action::Send(to, message) => self.send(index, to, &message),
             Action::ReadLeader => {
-                let delay = self.spread(20);
-                self.after(delay, Happening::StoreRead(place, life, self.now));
+                let delay = self.random_delay(20);
+                self.schedule(delay, SimEvent::ReadStore(index, incarnation, self.now));
             }
             Action::WriteLeader { topic_end, record } => {
-                let delay = self.spread(20);
-                self.after(delay, Happening::StoreWrite(place, life, topic_end, record));
+                let delay = self.random_delay(20);
+                self.schedule(
+                    delay,
+                    SimEvent::WriteStore(index, incarnation, topic_end, record),
+                );
             }
             Action::AnswerHeartbeat(answer) => {
-                let delay = self.spread(5);
-                if let Some((born, sequence)) = heard {
-                    self.after(delay, Happening::Answered(place, born, sequence, answer));
+                let delay = self.random_delay(5);
+                if let Some((started_ms, sequence)) = heartbeat {
+                    self.schedule(
+                        delay,
+                        SimEvent::HeartbeatAnswered(index, started_ms, sequence, answer),
+                    );
                 }
             }
             Action::CallServer(call) => {
-                let delay = self.spread(5);
-                self.after(delay, Happening::Call(place, life, CallStage::Begun(call)));
+                let delay = self.random_delay(5);
+                self.schedule(
+                    delay,
+                    SimEvent::Call(index, incarnation, CallStage::Started(call)),
+                );
             }
             Action::Publish
             | Action::FetchIntent(_)
@@ -565,30 +605,30 @@
 
     fn send(&mut self, from: usize, to: SocketAddr, message: &PeerMessage) {
         let target = usize::from(to.port() - 1);
-        if self.cuts.contains(&(from, target)) || self.random.random_bool(0.01) {
+        if self.partitions.contains(&(from, target)) || self.random.random_bool(0.01) {
             return;
         }
         let copies = if self.random.random_bool(0.02) { 2 } else { 1 };
         for _ in 0..copies {
-            let delay = match self.random.random_bool(self.plan.late) {
-                true => self.spread(4_000),
-                false => self.spread(3),
+            let delay = match self.random.random_bool(self.plan.late_share) {
+                true => self.random_delay(4_000),
+                false => self.random_delay(3),
             };
-            self.after(
+            self.schedule(
                 delay,
-                Happening::Datagram(target, address(from), message.clone()),
+                SimEvent::MessageReceived(target, address(from), message.clone()),
             );
         }
     }
 }
 
-fn address(place: usize) -> SocketAddr {
-    let port = u16::try_from(place).unwrap() + 1;
+fn address(index: usize) -> SocketAddr {
+    let port = u16::try_from(index).unwrap() + 1;
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn service(place: usize) -> &'static str {
-    if place.is_multiple_of(3) {
+fn service(index: usize) -> &'static str {
+    if index.is_multiple_of(3) {
         OTHER
     } else {
         KEYED
--- a/crates/mesh/tests/ownership_support/tracing.rs
+++ b/crates/mesh/tests/ownership_support/tracing.rs
@@ -1,4 +1,4 @@
-//! Short lines about what a node does, for the cause of a failure.
+//! Trace lines about the actions of a node, to find the cause of a failure.
 
 use quetzalrack_mesh::model::HeldRange;
 use quetzalrack_mesh::ownership::Action;
@@ -14,26 +14,27 @@
 
 pub fn line(action: &Action) -> String {
     match action {
-        Action::Send(to, PeerMessage::Heartbeat(beat)) => format!(
-            "beat {} to {to} epoch {} order {:?} left {} known {} settled {:?} holding {}",
-            beat.sequence,
-            beat.epoch,
-            beat.applied_reply,
-            beat.lease_left,
-            beat.holding_complete,
-            beat.member
+        Action::Send(to, PeerMessage::Heartbeat(heartbeat)) => format!(
+            "heartbeat {} to {to} epoch {} applied reply {:?} lease left {} holding complete {} holding known, silent {:?} holding {}",
+            heartbeat.sequence,
+            heartbeat.epoch,
+            heartbeat.applied_reply,
+            heartbeat.lease_left,
+            heartbeat.holding_complete,
+            heartbeat
+                .member
                 .server
                 .as_ref()
                 .map(|server| (server.holding_known, server.silent)),
-            ranges(&beat.holding)
+            ranges(&heartbeat.holding)
         ),
-        Action::Send(to, PeerMessage::Reply(order)) => format!(
-            "order {} to {to} epoch {} stamp {} lease {} {:?}",
-            order.sequence,
-            order.epoch,
-            order.sent_at,
-            order.lease,
-            order.assignment.as_ref().map(|assignment| {
+        Action::Send(to, PeerMessage::Reply(reply)) => format!(
+            "reply {} to {to} epoch {} sent at {} lease {} {:?}",
+            reply.sequence,
+            reply.epoch,
+            reply.sent_at,
+            reply.lease,
+            reply.assignment.as_ref().map(|assignment| {
                 let held: Vec<HeldRange> =
                     assignment.ranges.iter().map(|range| range.held).collect();
                 ranges(&held)
@@ -41,7 +42,7 @@
         ),
         Action::AnswerHeartbeat(HeartbeatAnswer::Renewed(renewal)) => {
             let held: Vec<HeldRange> = renewal.ranges.iter().map(|range| range.held).collect();
-            format!("renews for {:?} {}", renewal.hold, ranges(&held))
+            format!("renewed for {:?} {}", renewal.hold, ranges(&held))
         }
         action => format!("{action:?}"),
     }
