--- a/crates/mesh/tests/admission.rs
+++ b/crates/mesh/tests/admission.rs
@@ -1,4 +1,4 @@
-//! How requests wait at the backend server, and which are refused.
+//! Admission of requests to a backend server: which wait and which are refused.
 #![allow(clippy::unwrap_used, clippy::panic)]
 
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-const WORK: Duration = Duration::from_millis(100);
+const SERVICE_TIME: Duration = Duration::from_millis(100);
 
 fn at(ms: u64) -> Moment {
     Moment((1_000 + ms) * 1_000_000)
@@ -26,7 +26,7 @@
     "route".parse().unwrap()
 }
 
-fn job(ticket: u64, now: u64, rank: u32) -> AdmissionRequest {
+fn request(ticket: u64, now: u64, rank: u32) -> AdmissionRequest {
     AdmissionRequest {
         ticket: Ticket(ticket),
         route: route(),
@@ -36,7 +36,7 @@
     }
 }
 
-fn answered(route: &RouteName, time: Duration) -> ResponseSample<'_> {
+fn response(route: &RouteName, time: Duration) -> ResponseSample<'_> {
     let bytes = 400;
     ResponseSample {
         route,
@@ -51,7 +51,7 @@
     admission
 }
 
-/// Lets as many be written as begun.
+/// Returns a rate that allows as many requests to be written as begun.
 fn cold_rate(rate: f64) -> ColdRate {
     ColdRate::PerSecond {
         begun: rate,
@@ -59,28 +59,28 @@
     }
 }
 
-fn started(actions: &[AdmissionAction]) -> Vec<u64> {
-    let started = actions.iter().filter_map(|action| match action {
+fn admitted(actions: &[AdmissionAction]) -> Vec<u64> {
+    let admitted = actions.iter().filter_map(|action| match action {
         AdmissionAction::Admit(ticket) => Some(ticket.0),
         AdmissionAction::Refuse(..) => None,
     });
-    started.collect()
+    admitted.collect()
 }
 
-/// More come than the server works on at once; the rest wait here, where the urgent can overtake.
+/// Guards against urgent requests that wait behind others: more requests arrive than the server has slots,
+/// and the waiting ones are admitted by priority.
 #[test]
 fn urgent_first() {
     let mut admission = admission(1);
-    assert_eq!(started(&admission.arrive(at(0), job(1, 0, 2))), [1]);
-    assert!(started(&admission.arrive(at(1), job(2, 1, 2))).is_empty());
-    assert!(started(&admission.arrive(at(2), job(3, 2, 0))).is_empty());
-    let next = admission.end(at(100), Ticket(1), Some(answered(&route(), WORK)));
-    assert_eq!(started(&next), [3]);
+    assert_eq!(admitted(&admission.arrive(at(0), request(1, 0, 2))), [1]);
+    assert!(admitted(&admission.arrive(at(1), request(2, 1, 2))).is_empty());
+    assert!(admitted(&admission.arrive(at(2), request(3, 2, 0))).is_empty());
+    let next = admission.end(at(100), Ticket(1), Some(response(&route(), SERVICE_TIME)));
+    assert_eq!(admitted(&next), [3]);
 }
 
-/// A burst of twice the capacity. By deadline alone every answer would come late, one after the
-/// other; those that can still be in time go first, so most of what the server can do is worth its
-/// full value.
+/// Guards against a burst of twice the capacity in which every response is late. That happens if requests
+/// are admitted by deadline alone; requests that can still be in time go first instead.
 #[test]
 fn burst() {
     let mut admission = admission(10);
@@ -94,50 +94,50 @@
         running = rest;
         for (_, ticket, start) in done {
             let time = Duration::from_millis(ms - start);
-            actions.extend(admission.end(at(ms), Ticket(ticket), Some(answered(&route(), time))));
+            actions.extend(admission.end(at(ms), Ticket(ticket), Some(response(&route(), time))));
             in_time += u64::from(ms - arrived[&ticket] <= 400);
         }
-        // Twice the hundred a second that ten slots do.
+        // Twice the hundred requests a second that ten slots can serve.
         if random.random_bool(0.2) {
             ticket += 1;
             offered += 1;
             arrived.insert(ticket, ms);
-            actions.extend(admission.arrive(at(ms), job(ticket, ms, 1)));
+            actions.extend(admission.arrive(at(ms), request(ticket, ms, 1)));
         }
         actions.extend(admission.dispatch(at(ms)));
-        for started in started(&actions) {
+        for admitted in admitted(&actions) {
             let work = random.random_range(60..=140);
-            running.push((ms + work, started, ms));
+            running.push((ms + work, admitted, ms));
         }
     }
-    let possible = 1_000.0_f64;
+    let capacity = 1_000.0_f64;
     assert!(offered > 1_900, "{offered}");
-    let share = in_time as f64 / possible;
-    assert!(share > 0.9, "{share} of what the server can do was in time");
+    let share = in_time as f64 / capacity;
+    assert!(share > 0.9, "{share} of the capacity was used in time");
 }
 
-/// What can't be served in time is refused at once, with the time after which there is room.
+/// A request that can't be served in time is refused at once, with the time after which to retry.
 #[test]
-fn hopeless() {
+fn refused_at_once() {
     let mut admission = admission(1);
-    admission.arrive(at(0), job(1, 0, 1));
+    admission.arrive(at(0), request(1, 0, 1));
     admission.end(
         at(0),
         Ticket(1),
-        Some(answered(&route(), Duration::from_millis(1_100))),
+        Some(response(&route(), Duration::from_millis(1_100))),
     );
-    admission.arrive(at(0), job(2, 0, 1));
-    let refused = admission.arrive(at(1), job(3, 1, 1));
+    admission.arrive(at(0), request(2, 0, 1));
+    let refused = admission.arrive(at(1), request(3, 1, 1));
     match refused.as_slice() {
-        [AdmissionAction::Refuse(Ticket(3), RefusalReason::Full, back)] => {
-            assert!(*back >= Duration::from_millis(150));
+        [AdmissionAction::Refuse(Ticket(3), RefusalReason::Full, retry_after)] => {
+            assert!(*retry_after >= Duration::from_millis(150));
         }
         other => panic!("{other:?}"),
     }
 }
 
-/// A cold server crashes above a few requests a second: in no second may more be sent, however
-/// many wait and however quickly it answers.
+/// Guards against crashes of a cold server, which can serve only a few requests per second: no second may
+/// exceed its rate, however many requests wait and however quickly it responds.
 #[test]
 fn cold_server() {
     let mut admission = admission(18);
@@ -147,14 +147,14 @@
     let mut ticket = 0;
     for ms in 0..5_000 {
         ticket += 1;
-        let mut actions = admission.arrive(at(ms), job(ticket, ms, 1));
+        let mut actions = admission.arrive(at(ms), request(ticket, ms, 1));
         actions.extend(admission.dispatch(at(ms)));
-        for started in started(&actions) {
+        for admitted in admitted(&actions) {
             sent.push(ms);
             admission.end(
                 at(ms),
-                Ticket(started),
-                Some(answered(&route(), Duration::from_millis(1))),
+                Ticket(admitted),
+                Some(response(&route(), Duration::from_millis(1))),
             );
         }
     }
@@ -168,28 +168,29 @@
     assert!(sent.len() >= 100, "{}", sent.len());
 }
 
-/// The process beside a cold server is killed after it has sent what a second allows, and the next one
-/// starts half a second later. Each kept to the rate by itself, and both together did not: the server got
-/// 49 requests in a second and crashes above 42.
+/// Guards against a restart of a node process that lets a cold server's rate be exceeded. The process is
+/// killed after it has sent as many requests as one second allows, and the next one starts half a second
+/// later. Each kept to the rate by itself, but together they sent 49 requests in one second to a server that
+/// crashes above 42.
 #[test]
 fn restarted_process() {
     let run = |admission: &mut Admission, from: u64, to: u64| {
-        let (mut sent, of) = (Vec::new(), route());
+        let (mut sent, route) = (Vec::new(), route());
         for ms in (from..to).step_by(5) {
             let ticket = ms;
-            let mut actions = admission.arrive(at(ms), job(ticket, ms, 1));
+            let mut actions = admission.arrive(at(ms), request(ticket, ms, 1));
             actions.extend(admission.dispatch(at(ms)));
-            for ticket in started(&actions) {
+            for ticket in admitted(&actions) {
                 sent.push(ms);
-                let answer = answered(&of, Duration::from_millis(1));
+                let answer = response(&route, Duration::from_millis(1));
                 admission.end(at(ms), Ticket(ticket), Some(answer));
             }
         }
         sent
     };
-    let cold = |started: u64| {
+    let cold = |start: u64| {
         let mut admission = admission(10);
-        admission.cold_limiter().block_first_window(at(started));
+        admission.cold_limiter().block_first_window(at(start));
         admission.cold_limiter().set_rate(cold_rate(35.0));
         admission.cold_limiter().set_cold_until(at(60_000));
         admission
@@ -208,10 +209,10 @@
     }
 }
 
-/// Guards against a flood of a cold server when opening connections to it takes up to 300 ms: what was
-/// begun in one second is written in the next.
+/// Guards against overloading a cold server when opening connections to it takes up to 300 ms: requests
+/// begun in one second are written in the next.
 #[test]
-fn slow_dials() {
+fn slow_connects() {
     let mut admission = admission(18);
     admission.cold_limiter().set_rate(ColdRate::PerSecond {
         begun: 35.0,
@@ -223,13 +224,13 @@
     for ms in 0..10_000 {
         let mut actions = admission.dispatch(at(ms));
         if ms % 5 == 0 {
-            actions.extend(admission.arrive(at(ms), job(ms, ms, 1)));
+            actions.extend(admission.arrive(at(ms), request(ms, ms, 1)));
         }
-        // The first of each burst meet no open connections.
+        // The first requests of each burst find no open connections.
         let slow = ms % 2_000 < 500;
-        for ticket in started(&actions) {
-            let dial = if slow { random.random_range(0..300) } else { 0 };
-            opening.push((ms + dial, ticket));
+        for ticket in admitted(&actions) {
+            let connect_time = if slow { random.random_range(0..300) } else { 0 };
+            opening.push((ms + connect_time, ticket));
         }
         let (open, rest): (Vec<_>, Vec<_>) = opening.into_iter().partition(|(at, _)| *at <= ms);
         opening = rest;
@@ -239,9 +240,9 @@
                 None => {
                     written.push(ms);
                     let of = route();
-                    let answer = answered(&of, Duration::from_millis(1));
+                    let answer = response(&of, Duration::from_millis(1));
                     let more = admission.end(at(ms), Ticket(ticket), Some(answer));
-                    opening.extend(started(&more).iter().map(|ticket| (ms + 1, *ticket)));
+                    opening.extend(admitted(&more).iter().map(|ticket| (ms + 1, *ticket)));
                 }
             }
         }
@@ -256,89 +257,92 @@
     assert!(written.len() > 250, "{}", written.len());
 }
 
-/// Guards against a flood of a cold server while nobody has said what it bears.
+/// Guards against overloading a cold server whose rate isn't known yet.
 #[test]
 fn cold_without_rate() {
     let mut admission = admission(18);
     admission.cold_limiter().set_cold_until(at(5_000));
     for ticket in 0..50 {
-        assert!(started(&admission.arrive(at(ticket), job(ticket, ticket, 1))).is_empty());
+        assert!(admitted(&admission.arrive(at(ticket), request(ticket, ticket, 1))).is_empty());
     }
     assert!(admission.cold_limiter().is_blocked(at(60)));
     admission.cold_limiter().set_rate(cold_rate(20.0));
-    assert_eq!(started(&admission.dispatch(at(60))).len(), 18);
+    assert_eq!(admitted(&admission.dispatch(at(60))).len(), 18);
 }
 
-/// Guards against a warm server without work while nobody has said what a cold one bears.
+/// Guards against a warm server that receives no requests because the rate of a cold one isn't known.
 #[test]
 fn warm_without_rate() {
     let mut admission = admission(18);
     admission.cold_limiter().set_cold_until(at(100));
-    assert_eq!(started(&admission.arrive(at(200), job(1, 200, 1))), [1]);
+    assert_eq!(
+        admitted(&admission.arrive(at(200), request(1, 200, 1))),
+        [1]
+    );
 }
 
-/// A caller leaves while it waits; its place is free and nobody is sent in its name.
+/// A caller disconnects while its request waits: the request leaves the queue and is never sent.
 #[test]
-fn caller_leaves() {
+fn caller_disconnects() {
     let mut admission = admission(1);
-    admission.arrive(at(0), job(1, 0, 1));
-    admission.arrive(at(1), job(2, 1, 1));
+    admission.arrive(at(0), request(1, 0, 1));
+    admission.arrive(at(1), request(2, 1, 1));
     admission.cancel(Ticket(2));
     assert_eq!(admission.waiting(), 0);
-    assert!(started(&admission.end(at(50), Ticket(1), None)).is_empty());
+    assert!(admitted(&admission.end(at(50), Ticket(1), None)).is_empty());
 }
 
-/// Downloads keep a server busy, and calls come whose objective is short; each of them holds up
-/// another server's request. Most calls are late by their own objective before a slot is free. They go
-/// first all the same, and hardly one is refused: refused, or behind the downloads, they would fail their
-/// parents, whose work was then for nothing.
+/// Guards against calls of other servers that are refused, or wait behind downloads, on a busy server. Each
+/// call blocks a request of its caller, which fails with it and whose work is then wasted. The calls have
+/// short objectives, and most miss them before a slot is free. They are admitted first all the same, and
+/// almost none is refused.
 #[test]
-fn calls_of_others() {
+fn calls_of_other_servers() {
     let mut admission = admission(9);
     let download: RouteName = "download".parse().unwrap();
     let call: RouteName = "call".parse().unwrap();
     let mut random = ChaCha8Rng::seed_from_u64(3);
     let mut running: Vec<(u64, u64, u64)> = Vec::new();
-    let mut jobs = std::collections::BTreeMap::new();
+    let mut routes = std::collections::BTreeMap::new();
     let (mut ticket, mut refused, mut calls) = (0_u64, 0, 0);
     for ms in 0..10_000_u64 {
         let mut actions = Vec::new();
         let (done, rest): (Vec<_>, Vec<_>) = running.into_iter().partition(|(end, ..)| *end <= ms);
         running = rest;
         for (_, ticket, start) in done {
-            let route: &RouteName = &jobs[&ticket];
+            let route: &RouteName = &routes[&ticket];
             let time = Duration::from_millis(ms - start);
-            actions.extend(admission.end(at(ms), Ticket(ticket), Some(answered(route, time))));
+            actions.extend(admission.end(at(ms), Ticket(ticket), Some(response(route, time))));
         }
-        // Calls ask for 0.6 of the server, downloads for as much again.
+        // Calls need 0.6 of the server's capacity, downloads as much again.
         for (route, chance, rank, objective, deadline) in [
             (&call, 0.096, 1, 150, 500),
             (&download, 0.03, 2, 1_000, 3_000),
         ] {
             if random.random_bool(chance) {
                 ticket += 1;
-                jobs.insert(ticket, route.clone());
+                routes.insert(ticket, route.clone());
                 calls += u64::from(rank == 1);
-                let job = AdmissionRequest {
+                let request = AdmissionRequest {
                     ticket: Ticket(ticket),
                     route: route.clone(),
                     rank,
                     objective: at(ms + objective),
                     deadline: at(ms + deadline),
                 };
-                actions.extend(admission.arrive(at(ms), job));
+                actions.extend(admission.arrive(at(ms), request));
             }
         }
         actions.extend(admission.dispatch(at(ms)));
         for action in &actions {
             match action {
-                AdmissionAction::Admit(Ticket(started)) => {
-                    let usual = if jobs[started] == call { 56 } else { 180 };
+                AdmissionAction::Admit(Ticket(admitted)) => {
+                    let usual = if routes[admitted] == call { 56 } else { 180 };
                     let work = random.random_range(usual / 2..usual * 3 / 2);
-                    running.push((ms + work, *started, ms));
+                    running.push((ms + work, *admitted, ms));
                 }
                 AdmissionAction::Refuse(Ticket(lost), ..) => {
-                    refused += u64::from(jobs[lost] == call);
+                    refused += u64::from(routes[lost] == call);
                 }
             }
         }
@@ -347,11 +351,11 @@
     assert!(share < 0.01, "{refused} of {calls} calls were refused");
 }
 
-/// Other work on its host triples what a half busy server needs, for 0.4 s now and then. Requests that
-/// come then will be late, and wait with others that are; but there is room for all of them a moment
-/// later, so hardly one is refused.
+/// Guards against refusals during short slowdowns. Other work on the host triples the service times of a
+/// half busy server for 0.4 s at a time. Requests that arrive then are late and wait, but all of them can
+/// be served a moment later, so almost none is refused.
 #[test]
-fn slow_moments() {
+fn short_slowdowns() {
     let mut admission = admission(9);
     let mut random = ChaCha8Rng::seed_from_u64(11);
     let mut running: Vec<(u64, u64, u64)> = Vec::new();
@@ -362,24 +366,24 @@
         running = rest;
         for (_, ticket, start) in done {
             let time = Duration::from_millis(ms - start);
-            actions.extend(admission.end(at(ms), Ticket(ticket), Some(answered(&route(), time))));
+            actions.extend(admission.end(at(ms), Ticket(ticket), Some(response(&route(), time))));
         }
         if random.random_bool(0.028) {
             ticket += 1;
-            let job = AdmissionRequest {
+            let request = AdmissionRequest {
                 objective: at(ms + 500),
                 deadline: at(ms + 1_200),
-                ..job(ticket, ms, 1)
+                ..request(ticket, ms, 1)
             };
-            actions.extend(admission.arrive(at(ms), job));
+            actions.extend(admission.arrive(at(ms), request));
         }
         actions.extend(admission.dispatch(at(ms)));
         let slow = if ms % 2_000 < 400 { 3 } else { 1 };
         for action in &actions {
             match action {
-                AdmissionAction::Admit(Ticket(started)) => {
+                AdmissionAction::Admit(Ticket(admitted)) => {
                     let work = random.random_range(80..240) * slow;
-                    running.push((ms + work, *started, ms));
+                    running.push((ms + work, *admitted, ms));
                 }
                 AdmissionAction::Refuse(..) => refused += 1,
             }
@@ -388,9 +392,9 @@
     assert!(refused * 100 < ticket, "{refused} of {ticket} were refused");
 }
 
-/// Enough requests come that can be in time to keep the server busy, and others that can't be any more
-/// wait behind them. They were held until their deadlines were nearly over and then refused, though
-/// none of them had a chance; now a caller hears so early enough to come back.
+/// Guards against refusals that come too late for the caller to retry. Enough requests that can be in time
+/// arrive to keep the server busy, and others that can't be any more wait behind them. These were held
+/// almost until their deadlines and then refused, though they could never have been served.
 #[test]
 fn refused_early() {
     let mut admission = admission(10);
@@ -404,20 +408,20 @@
         running = rest;
         for (_, ticket, start) in done {
             let time = Duration::from_millis(ms - start);
-            actions.extend(admission.end(at(ms), Ticket(ticket), Some(answered(&route(), time))));
+            actions.extend(admission.end(at(ms), Ticket(ticket), Some(response(&route(), time))));
         }
-        // Half as much again as ten slots do; the server's work varies widely.
+        // One and a half times what ten slots can serve, with widely varying service times.
         if random.random_bool(0.15) {
             ticket += 1;
             arrived.insert(ticket, ms);
-            actions.extend(admission.arrive(at(ms), job(ticket, ms, 1)));
+            actions.extend(admission.arrive(at(ms), request(ticket, ms, 1)));
         }
         actions.extend(admission.dispatch(at(ms)));
         for action in &actions {
             match action {
-                AdmissionAction::Admit(Ticket(started)) => {
+                AdmissionAction::Admit(Ticket(admitted)) => {
                     let work = random.random_range(20..=180);
-                    running.push((ms + work, *started, ms));
+                    running.push((ms + work, *admitted, ms));
                 }
                 AdmissionAction::Refuse(Ticket(ticket), ..) => {
                     refused += 1;
--- a/crates/mesh/tests/key_counter.rs
+++ b/crates/mesh/tests/key_counter.rs
@@ -1,4 +1,4 @@
-//! Counting the load of keys.
+//! Load counters of keys.
 
 use std::time::Duration;
 
@@ -6,18 +6,18 @@
 use quetzalrack_mesh::model::KeyRange;
 use quetzalrack_mesh::traffic::KeyCounter;
 
-const WORK: Duration = Duration::from_millis(100);
+const SERVICE_TIME: Duration = Duration::from_millis(100);
 
-/// A hot key stands alone in the report, so that it can move without its neighbours; together the
-/// parts cover just what the server holds.
+/// A hot key is reported as a range of its own, so it can move without its neighbours. Together the ranges
+/// cover exactly the keys that the server holds.
 #[test]
 fn hot_key() {
     let mut counter = KeyCounter::default();
     for key in 0..1_000_u16 {
-        counter.count(key, WORK);
+        counter.count(key, SERVICE_TIME);
     }
     for _ in 0..2_000 {
-        counter.count(500, WORK);
+        counter.count(500, SERVICE_TIME);
     }
     let held = KeyRange {
         first: 0,
@@ -30,12 +30,12 @@
     assert_eq!(sizes, 1_000);
 }
 
-/// A key that was hot some seconds ago is not hot any more.
+/// The load of a key decays within seconds after its last requests.
 #[test]
 fn cooled_key() {
     let mut counter = KeyCounter::default();
     for _ in 0..1_000 {
-        counter.count(7, WORK);
+        counter.count(7, SERVICE_TIME);
     }
     let held = [KeyRange::ALL];
     let before: u32 = counter
--- a/crates/mesh/tests/link.rs
+++ b/crates/mesh/tests/link.rs
@@ -1,4 +1,4 @@
-//! How long answers share a narrow link with short ones.
+//! Sharing of a narrow link between large and small responses.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::VecDeque;
@@ -8,10 +8,10 @@
 use quetzalrack_mesh::traffic::link::LinkQueue;
 use quetzalrack_mesh::traffic::link::MessageId;
 
-/// Bytes a millisecond at 10 Mbit/s.
-const LINK: f64 = 1_250.0;
-const LONG: usize = 90_000;
-const SHORT: usize = 500;
+/// Bytes per millisecond at 10 Mbit/s.
+const LINK_RATE: f64 = 1_250.0;
+const LARGE: usize = 90_000;
+const SMALL: usize = 500;
 
 fn at(ms: u64) -> Moment {
     Moment((1_000 + ms) * 1_000_000)
@@ -21,7 +21,7 @@
     LinkQueue::new(LinkRate::from_megabits(10.0).unwrap())
 }
 
-/// Plays the link: what is written waits in one queue and leaves it at the link's rate.
+/// A simulated link: written bytes wait in one queue and leave it at the link's rate.
 #[derive(Default)]
 struct Link {
     queued: f64,
@@ -34,53 +34,56 @@
         self.longest = self.longest.max(self.queued);
     }
 
-    fn pass(&mut self) {
-        self.queued = (self.queued - LINK).max(0.0);
+    fn drain(&mut self) {
+        self.queued = (self.queued - LINK_RATE).max(0.0);
     }
 }
 
-/// Sixteen downloads are answered at the same moment, while short answers go on. Written at once
-/// the downloads would keep the link busy for more than a second, and every short answer with it,
-/// on each of which another server's work waits.
+/// Guards against small responses that wait behind large ones. Sixteen downloads are answered at the same
+/// moment. Written at once they would occupy the link for more than a second, and every small response would
+/// wait that long, with the work of another server that depends on it.
 #[test]
-fn short_answers() {
+fn small_responses() {
     let mut queue = queue();
     let mut link = Link::default();
-    let mut long: VecDeque<(MessageId, usize)> = (0..16).map(|_| (queue.add(), LONG)).collect();
+    let mut large: VecDeque<(MessageId, usize)> = (0..16).map(|_| (queue.add(), LARGE)).collect();
     let (mut finished, mut ms) = (Vec::new(), 0);
-    while !long.is_empty() {
+    while !large.is_empty() {
         if ms % 10 == 0 {
-            queue.record_written(at(ms), SHORT);
-            link.write(SHORT);
+            queue.record_written(at(ms), SMALL);
+            link.write(SMALL);
         }
-        for (turn, left) in &mut long {
+        for (message, left) in &mut large {
             while *left > 0
-                && let Some(allowed) = queue.request_write(at(ms), *turn)
+                && let Some(allowed) = queue.request_write(at(ms), *message)
             {
-                let piece = allowed.min(*left);
-                queue.record_written(at(ms), piece);
-                link.write(piece);
-                *left -= piece;
+                let bytes = allowed.min(*left);
+                queue.record_written(at(ms), bytes);
+                link.write(bytes);
+                *left -= bytes;
             }
         }
-        while long.front().is_some_and(|(_, left)| *left == 0) {
-            let (turn, _) = long.pop_front().unwrap();
-            queue.remove(turn);
+        while large.front().is_some_and(|(_, left)| *left == 0) {
+            let (message, _) = large.pop_front().unwrap();
+            queue.remove(message);
             finished.push(ms);
         }
-        link.pass();
+        link.drain();
         ms += 1;
     }
-    let delay = link.longest / LINK;
-    assert!(delay < 25.0, "a short answer waits {delay} ms at the link");
-    // The first is done after its own time, not after everyone's.
+    let delay = link.longest / LINK_RATE;
+    assert!(
+        delay < 25.0,
+        "a small response waits {delay} ms at the link"
+    );
+    // The first download ends after its own time, not after that of all.
     assert!(finished[0] < 120, "{finished:?}");
-    let bytes = 16 * LONG + SHORT * ms as usize / 10;
-    let used = bytes as f64 / ms as f64 / LINK;
+    let bytes = 16 * LARGE + SMALL * ms as usize / 10;
+    let used = bytes as f64 / ms as f64 / LINK_RATE;
     assert!(used > 0.85, "{used} of the link was used");
 }
 
-/// The receiver of the first answer takes nothing for a while: the next one goes on.
+/// The receiver of the first response reads nothing for a while: the next response continues.
 #[test]
 fn slow_receiver() {
     let mut queue = queue();
@@ -89,7 +92,7 @@
     assert!(queue.request_write(at(0), second).is_none());
     queue.remove(first);
     assert!(queue.request_write(at(0), second).is_some());
-    // It takes bytes again, and its turn is the earlier one.
+    // It reads again, and its response is the earlier one.
     assert!(queue.request_write(at(0), first).is_some());
     assert_eq!(queue.next(at(0)).unwrap().0, first);
 }
--- a/crates/mesh/tests/lone_node/mod.rs
+++ b/crates/mesh/tests/lone_node/mod.rs
@@ -1,4 +1,4 @@
-//! A node beside a backend server, without others.
+//! A single node with its backend server, without peers.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::time::Duration;
@@ -14,22 +14,22 @@
 use quetzalrack_mesh::ownership::NodeProfile;
 use quetzalrack_mesh::ownership::ServerEvent;
 
-/// Returns a moment so many milliseconds after the node's start.
+/// Returns the moment a number of milliseconds after the node's start.
 pub fn at(ms: u64) -> Moment {
     Moment((1_000 + ms) * 1_000_000)
 }
 
-pub fn life(node: &str) -> NodeIncarnation {
+pub fn incarnation(node: &str) -> NodeIncarnation {
     NodeIncarnation {
         node: node.parse().unwrap(),
         nonce: 1,
     }
 }
 
-/// Starts a node whose settings name a way of granting.
+/// Starts a node with a way of granting in its settings.
 pub fn node(granting: Granting) -> NodeMachine {
     let profile = NodeProfile {
-        incarnation: life("node-1"),
+        incarnation: incarnation("node-1"),
         zone: "zone".parse().unwrap(),
         control: "127.0.0.1:7620".parse().unwrap(),
         traffic: "127.0.0.1:7621".parse().unwrap(),
@@ -42,7 +42,7 @@
     NodeMachine::new(at(0), profile, LeaseTimes::default())
 }
 
-/// Is a heartbeat of the server beside the node.
+/// Returns a heartbeat of the node's backend server.
 pub fn heartbeat(sequence: u64) -> Event {
     Event::Server(ServerEvent::Heartbeat(ServerHeartbeat {
         incarnation: ServerIncarnation {
--- a/crates/mesh/tests/owner_word.rs
+++ b/crates/mesh/tests/owner_word.rs
@@ -1,4 +1,4 @@
-//! What a node that refuses a request says of its key's owner.
+//! Hints about a key's owner in refusals of requests.
 #![allow(clippy::unwrap_used)]
 
 use quetzalrack_mesh::model::KeyRange;
@@ -13,28 +13,28 @@
         owners_version: version,
         ..Directory::default()
     };
-    let rows = vec![(keys, owner.parse().unwrap())];
-    directory.owners.insert("keyed".parse().unwrap(), rows);
+    let ranges = vec![(keys, owner.parse().unwrap())];
+    directory.owners.insert("keyed".parse().unwrap(), ranges);
     directory
 }
 
-/// Guards against requests that are sent back to the server that has just released their keys: only a table
-/// with later news than one's own counts.
+/// Guards against requests that are sent back to the server that has just released their keys: a hint counts
+/// only if its table is newer than the receiver's own.
 #[test]
-fn later_news() {
-    let word = OwnerHint::of(&directory(256, 7, "node-2"), &"keyed".parse().unwrap(), 5).unwrap();
-    assert!(word.is_newer(&directory(256, 6, "node-1")));
-    assert!(word.is_newer(&directory(1, 9, "node-1")));
-    assert!(!word.is_newer(&directory(256, 7, "node-2")));
-    assert!(!word.is_newer(&directory(257, 1, "node-1")));
+fn newer_table() {
+    let hint = OwnerHint::of(&directory(256, 7, "node-2"), &"keyed".parse().unwrap(), 5).unwrap();
+    assert!(hint.is_newer(&directory(256, 6, "node-1")));
+    assert!(hint.is_newer(&directory(1, 9, "node-1")));
+    assert!(!hint.is_newer(&directory(256, 7, "node-2")));
+    assert!(!hint.is_newer(&directory(257, 1, "node-1")));
 }
 
-/// Guards against words that change on their way between nodes.
+/// Guards against hints that change when they are written and parsed.
 #[test]
-fn on_its_way() {
-    let word = OwnerHint::of(&directory(256, 7, "node-2"), &"keyed".parse().unwrap(), 5);
-    let read = word.as_ref().map(|word| word.to_string().parse());
-    assert_eq!(read, word.map(Ok));
+fn round_trip() {
+    let hint = OwnerHint::of(&directory(256, 7, "node-2"), &"keyed".parse().unwrap(), 5);
+    let parsed = hint.as_ref().map(|hint| hint.to_string().parse());
+    assert_eq!(parsed, hint.map(Ok));
     assert!("256/7".parse::<OwnerHint>().is_err());
     assert_eq!(
         OwnerHint::of(
--- a/crates/mesh/tests/ownership_calls.rs
+++ b/crates/mesh/tests/ownership_calls.rs
@@ -1,5 +1,5 @@
-//! No key ever has two holders where servers are granted keys by call: calls are lost, and obeyed up
-//! to six seconds late, after later grants and after releases, and by whoever listens by then.
+//! No key ever has two holders if servers are granted keys by call. Calls are lost, or executed up to six
+//! seconds late: after later grants, after releases, and by the server that listens at that time.
 #![allow(clippy::unwrap_used, clippy::panic)]
 
 mod ownership_support;
@@ -12,52 +12,51 @@
     run_schedules(faults, Granting::ByCall)
 }
 
-/// Calls fail now and then, and nothing else does: keys have owners within the first seconds, and keep
-/// them.
+/// A few calls fail, without other faults: keys have owners within the first seconds, and keep them.
 #[test]
 fn calm() {
     let unowned = run_by_call(FaultKind::NoFaults);
     assert!(unowned < 6.0, "{unowned} s without an owner");
 }
 
-/// Processes are killed between a call and its answer. The next process does not know what was asked
-/// for, and the server may be granted it late.
+/// Node processes are killed between a call and its answer. The next process does not know of the call, and
+/// the server may execute the grant late.
 #[test]
 fn kills() {
     run_by_call(FaultKind::Kills);
 }
 
-/// Processes are told to leave in turn while their servers' keys are renewed.
+/// Node processes are shut down in turn while their servers' keys are renewed.
 #[test]
 fn leaves() {
     run_by_call(FaultKind::Shutdowns);
 }
 
-/// Hosts lose power; a late call reaches the next life of the server.
+/// Hosts lose power, and a late call reaches the next incarnation of the server.
 #[test]
 fn power() {
     run_by_call(FaultKind::PowerLosses);
 }
 
-/// Nodes hear only some of the others, or not the store, and calls go on as long as leases do.
+/// Nodes reach only some of their peers, or not the store, while calls go on until the leases end.
 #[test]
 fn cuts() {
     run_by_call(FaultKind::Partitions);
 }
 
-/// The store is away, or does what it was asked and does not say so.
+/// The store is unreachable, or executes calls without a response.
 #[test]
 fn store() {
     run_by_call(FaultKind::StoreFaults);
 }
 
-/// Nodes stand still between deciding on a call and sending it.
+/// Node processes are suspended between deciding on a call and sending it.
 #[test]
 fn freezes() {
     run_by_call(FaultKind::Freezes);
 }
 
-/// All of it at once.
+/// All kinds of faults together.
 #[test]
 fn everything() {
     run_by_call(FaultKind::All);
--- a/crates/mesh/tests/ownership_schedules.rs
+++ b/crates/mesh/tests/ownership_schedules.rs
@@ -1,4 +1,4 @@
-//! No key ever has two holders, whatever happens: random schedules of a whole fleet whose servers are
+//! No key ever has two holders under any faults: random schedules of a whole fleet whose servers are
 //! granted keys by heartbeat.
 #![allow(clippy::unwrap_used, clippy::panic)]
 
@@ -18,58 +18,58 @@
     run_schedules(faults, Granting::ByHeartbeat)
 }
 
-/// Nothing happens: keys have owners within the first seconds, and keep them.
+/// Without faults, keys have owners within the first seconds, and keep them.
 #[test]
 fn calm() {
     let unowned = run_by_heartbeat(FaultKind::NoFaults);
     assert!(unowned < 6.0, "{unowned} s without an owner");
 }
 
-/// A caller's key is served by two servers after its node's process was killed and started again:
-/// the new process reported that it knew of nothing held, which the leader took for a release.
+/// Guards against a key with two holders after a node process was killed and started again. The new process
+/// reported no known holds, which the leader took for a release.
 #[test]
 fn kills() {
     run_by_heartbeat(FaultKind::Kills);
 }
 
-/// Processes are told to leave in turn, the leader's among them, which hands its leadership on.
+/// Node processes are shut down in turn, including the leader, which hands over its leadership.
 #[test]
 fn leaves() {
     run_by_heartbeat(FaultKind::Shutdowns);
 }
 
-/// Hosts lose power, now and then all at once, some for good; nobody is left who remembers.
+/// Hosts lose power, sometimes all at once and some permanently, so no process is left that knows the holds.
 #[test]
 fn power() {
     run_by_heartbeat(FaultKind::PowerLosses);
 }
 
-/// Nodes hear only some of the others, or not the store, each in its own way.
+/// Nodes reach only some of their peers, or not the store, each in a different way.
 #[test]
 fn cuts() {
     run_by_heartbeat(FaultKind::Partitions);
 }
 
-/// The store is away, or does what it was asked and does not say so, or does it seconds later.
+/// The store is unreachable, or executes calls without a response, possibly seconds later.
 #[test]
 fn store() {
     run_by_heartbeat(FaultKind::StoreFaults);
 }
 
-/// Nodes stand still with answers in their hands and go on as if no time had passed.
+/// Node processes are suspended with unhandled answers, and resume as if no time had passed.
 #[test]
 fn freezes() {
     run_by_heartbeat(FaultKind::Freezes);
 }
 
-/// All of it at once.
+/// All kinds of faults together.
 #[test]
 fn everything() {
     run_by_heartbeat(FaultKind::All);
 }
 
-/// The store is away and the leader is told to leave: keys have no owner until the store is back,
-/// since nobody can be named as the next leader; unless the leader hands its leadership on.
+/// Guards against keys without an owner when the leader is shut down while the store is unreachable. No
+/// other node can claim the leadership until the store is back, unless the leader hands it over.
 #[test]
 fn leaves_without_store() {
     let mut fleet = Fleet::new(plan(1, FaultKind::NoFaults, Granting::ByHeartbeat));
@@ -81,11 +81,11 @@
     assert!(unowned < 7.0, "{unowned} s without an owner");
 }
 
-/// A host loses power, and its next process and server are given keys. Then a heartbeat of the earlier
-/// process comes in, seconds late_share: it names the earlier server and nothing held. The leader took that
-/// for the newest word, gave the keys to another, and two servers held them.
+/// Guards against two holders because of a late heartbeat. A host loses power, and its next process and
+/// server are granted keys. Then a heartbeat of the earlier process arrives seconds late, with the earlier
+/// server and no holds. The leader took it for the newest state and granted the keys to another server.
 #[test]
-fn late_words_of_the_dead() {
+fn late_heartbeat_of_earlier_process() {
     for seed in [2_705, 3_741, 4_421, 4_555] {
         let mut fleet = Fleet::new(FleetPlan {
             late_share: 0.15,
@@ -96,9 +96,10 @@
     }
 }
 
-/// The first leader of an environment is lost for good, and nobody starts again under its name. Its
-/// followers had kept the record with which it began, and that named no voters, so they asked nobody
-/// whether the leader is heard; all keys were without an owner until two of its refreshes were missed.
+/// Guards against a late replacement of the first leader of an environment, which is lost permanently and
+/// never restarts under its name. Its followers had kept its first record, which named no voters, so they
+/// asked no node whether the leader is responsive. All keys had no owner until two of its refreshes were
+/// missed.
 #[test]
 fn first_leader_lost() {
     for seed in 0..10 {
@@ -109,18 +110,22 @@
         fleet.lose_leader(Duration::from_secs(12));
         fleet.run();
         assert_eq!(fleet.violation, None, "seed {seed}");
-        // Three seconds and a half at the start, and the lease of the lost server's keys.
+        // Three and a half seconds at the start, plus the lease of the lost server's keys.
         let unowned = fleet.unowned as f64 / 10_000.0;
         assert!(unowned < 8.0, "seed {seed}: {unowned} s without an owner");
     }
 }
 
-/// Schedules that once showed two holders, a falling token, or keys that nobody got: a restarted
-/// node's silence taken for a release (kills), a silent server's old lease (calm), reports passed
-/// over in a takeover (cuts, freezes), lost writes of the leader's record (cuts, store), an order for
-/// an earlier process (everything), a first heartbeat that came late (leaves, power), a thawed
-/// node that granted what its earlier leader had given (freezes), a word of an earlier process that came
-/// late (power), and a holder that the leader after a handover left out of the voters (leaves).
+/// Schedules that once showed two holders, a falling token, or keys without an owner. The causes were:
+/// - a restarted node's missing report taken for a release (kills)
+/// - the old lease of an unresponsive server (no faults)
+/// - reports ignored in a takeover (partitions, freezes)
+/// - lost writes of the leader's record (partitions, store faults)
+/// - a reply for an earlier process (all)
+/// - a first heartbeat that arrived late (shutdowns, power losses)
+/// - a resumed node that granted keys of its earlier leader (freezes)
+/// - a late heartbeat of an earlier process (power losses)
+/// - a holder that was not among the voters of the next leader after a handover (shutdowns)
 #[test]
 fn failed_before() {
     let seeds = [
--- a/crates/mesh/tests/placement.rs
+++ b/crates/mesh/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which server gets which keys.
+//! Placement of keys on servers.
 
 use quetzalrack_mesh::model::KeyRange;
 use quetzalrack_mesh::ownership::KeyLoad;
@@ -21,7 +21,7 @@
     }
 }
 
-/// At a start all servers are equal, and so are their shares.
+/// At a start all servers are equal, and so are their shares of the keys.
 #[test]
 fn first_shares() {
     let servers = vec![server(0, 0.0); 4];
@@ -34,9 +34,9 @@
     }
 }
 
-/// A slow server is overloaded, so keys leave it again and again until it has the fewest. Were free
-/// keys shared out by number, each would come straight back, and its callers would be refused all
-/// day while the other servers idle.
+/// Guards against a slow server that gets back the keys that were moved away from it. It is overloaded, so
+/// keys leave it until it has the fewest. If free keys were distributed by number alone, they would return at
+/// once, and its requests would be refused permanently while the other servers idle.
 #[test]
 fn slow_server() {
     let servers = [
@@ -50,7 +50,7 @@
     }
 }
 
-/// A host is lost under full load: its keys go to those that have room, by how much they have.
+/// A host is lost under full load: its keys go to the servers with free capacity, in proportion to it.
 #[test]
 fn lost_server() {
     let servers = [
@@ -67,7 +67,7 @@
     assert_eq!(got[0], 0);
 }
 
-/// Ranges and how many tenths of a slot each keeps busy.
+/// Returns the loads of ranges, from how many tenths of a slot each occupies.
 fn loads(parts: &[(u16, u16, u32)]) -> Vec<KeyLoad> {
     let load = |(first, last, tenths): &(u16, u16, u32)| {
         KeyLoad::of(range(*first, *last), f64::from(*tenths) / 10.0)
@@ -79,21 +79,22 @@
     pick_moves(servers, 1).into_iter().next()
 }
 
-/// A few neighbouring keys get a third of a server's requests: just they move, since every moved
-/// key's work stops for a moment.
+/// A few neighbouring keys get a third of a server's requests: only they move, since requests for every
+/// moved key pause for a moment.
 #[test]
 fn hot_range() {
-    let mut full = server(30_000, 1.5);
-    full.key_loads = loads(&[(0, 9_999, 30), (10_000, 10_019, 55), (10_020, 29_999, 65)]);
-    let servers = [full, server(20_000, 0.4), server(20_000, 0.3)];
+    let mut busy = server(30_000, 1.5);
+    busy.key_loads = loads(&[(0, 9_999, 30), (10_000, 10_019, 55), (10_020, 29_999, 65)]);
+    let servers = [busy, server(20_000, 0.4), server(20_000, 0.3)];
     let chosen = first_move(&servers).unwrap();
     assert_eq!(chosen.keys, range(10_000, 10_019));
     assert_eq!((chosen.from, chosen.to), (0, 2));
 }
 
-/// Two hundred neighbouring keys suddenly get a third of a whole service's requests, ten times what
-/// their server can do. Moved to one server after the other, they would have cooled before they are
-/// spread; so one round of moves leaves no server with more than it can do.
+/// Guards against a hot range that cools before it is distributed. Two hundred neighbouring keys suddenly get
+/// a third of a whole service's requests, ten times their server's capacity. Moves to one server after another
+/// would take longer than the range stays hot. Two rounds of moves must leave
+/// no server above its capacity.
 #[test]
 fn spread_at_once() {
     let mut hot = server(2_000, 10.0);
@@ -120,16 +121,13 @@
         }
     }
     let worst = after.iter().copied().fold(0.0, f64::max);
-    assert!(
-        worst <= 1.0,
-        "the fullest server is asked for {worst} of what it can do"
-    );
+    assert!(worst <= 1.0, "the busiest server has a load of {worst}");
 }
 
-/// Guards against a hot range from which nothing moves: refused requests come back at once, so its server
-/// seems to be asked for sixty times what it can do, and each part of it for more than any server can.
+/// Guards against a hot range from which nothing moves: refused requests come back at once, so the demand on
+/// its server seems to be sixty times its capacity, and that on each part more than any server's capacity.
 #[test]
-fn far_too_much() {
+fn demand_from_refusals() {
     let mut hot = server(20_000, 60.0);
     let part = |place: u16| (place * 10, place * 10 + 9, 250);
     let parts: Vec<(u16, u16, u32)> = (0..24).map(part).collect();
@@ -137,31 +135,31 @@
     let servers = [hot, server(20_000, 0.9), server(20_000, 0.9)];
     let moves = pick_moves(&servers, 12);
     let got = |to: usize| moves.iter().filter(move |chosen| chosen.to == to);
-    let work = |to: usize| got(to).map(|chosen| chosen.usual_slots).sum::<f64>();
-    let (one, other) = (work(1), work(2));
+    let slots = |to: usize| got(to).map(|chosen| chosen.usual_slots).sum::<f64>();
+    let (one, other) = (slots(1), slots(2));
     // An even share would be two hundred.
     for shared in [one, other, 600.0 - one - other] {
         assert!((150.0..=250.0).contains(&shared), "{one} and {other}");
     }
 }
 
-/// Nothing moves while no server is full, or none is much emptier.
+/// Nothing moves while no server is overloaded, or none is much less loaded.
 #[test]
 fn no_need() {
-    let mut full = server(30_000, 0.7);
-    full.key_loads = loads(&[(0, 29_999, 100)]);
-    assert_eq!(first_move(&[full.clone(), server(20_000, 0.1)]), None);
-    full.load = 1.2;
-    assert_eq!(first_move(&[full, server(20_000, 1.0)]), None);
+    let mut busy = server(30_000, 0.7);
+    busy.key_loads = loads(&[(0, 29_999, 100)]);
+    assert_eq!(first_move(&[busy.clone(), server(20_000, 0.1)]), None);
+    busy.load = 1.2;
+    assert_eq!(first_move(&[busy, server(20_000, 1.0)]), None);
 }
 
-/// A cold server bears a few requests a second; a hot range would crash it.
+/// A hot range does not move to a cold server: it can serve only a few requests per second, and would crash.
 #[test]
 fn cold_target() {
-    let mut full = server(30_000, 1.5);
-    full.key_loads = loads(&[(0, 9, 45), (10, 29_999, 105)]);
+    let mut busy = server(30_000, 1.5);
+    busy.key_loads = loads(&[(0, 9, 45), (10, 29_999, 105)]);
     let mut cold = server(0, 0.0);
     cold.cold = true;
-    let chosen = first_move(&[full, cold, server(20_000, 0.5)]).unwrap();
+    let chosen = first_move(&[busy, cold, server(20_000, 0.5)]).unwrap();
     assert_eq!(chosen.to, 2);
 }
--- a/crates/mesh/tests/prompts.rs
+++ b/crates/mesh/tests/prompts.rs
@@ -1,4 +1,4 @@
-//! A leader that has something to tell has its nodes ask at once.
+//! Heartbeats that a leader requests from its nodes.
 #![allow(clippy::unwrap_used, clippy::panic)]
 
 mod lone_node;
@@ -12,7 +12,7 @@
 use quetzalrack_mesh::ownership::PeerMessage;
 
 use lone_node::at;
-use lone_node::life;
+use lone_node::incarnation;
 use lone_node::node;
 
 const LEADER: &str = "127.0.0.1:7630";
@@ -21,17 +21,17 @@
     Event::Message(LEADER.parse().unwrap(), message)
 }
 
-fn beats(node: &mut NodeMachine, ms: u64, event: Event) -> usize {
+fn heartbeats(node: &mut NodeMachine, ms: u64, event: Event) -> usize {
     let actions = node.step(at(ms), event);
-    let beat = |action: &&Action| matches!(action, Action::Send(_, PeerMessage::Heartbeat(_)));
-    actions.iter().filter(beat).count()
+    let heartbeat = |action: &&Action| matches!(action, Action::Send(_, PeerMessage::Heartbeat(_)));
+    actions.iter().filter(heartbeat).count()
 }
 
 fn following() -> NodeMachine {
     let mut node = node(Granting::ByCall);
     let record = LeaderRecord {
         epoch: Epoch(256),
-        leader: life("node-2"),
+        leader: incarnation("node-2"),
         control: LEADER.parse().unwrap(),
         voters: Vec::new(),
         takeover_complete: true,
@@ -44,23 +44,23 @@
     node
 }
 
-/// Guards against keys without an owner until the next beat of the node whose server is to have them.
+/// Guards against keys without an owner until the next regular heartbeat of the node whose server gets them.
 #[test]
-fn at_once() {
+fn requested_heartbeat() {
     let mut node = following();
-    let prompt = || message(PeerMessage::HeartbeatRequest { epoch: Epoch(256) });
-    assert_eq!(beats(&mut node, 50, Event::Tick), 0);
-    assert_eq!(beats(&mut node, 60, prompt()), 1);
-    // A burst of grants shares the next one.
-    assert_eq!(beats(&mut node, 62, prompt()), 0);
-    assert_eq!(beats(&mut node, 63, prompt()), 0);
-    assert_eq!(beats(&mut node, 70, Event::Tick), 1);
+    let request = || message(PeerMessage::HeartbeatRequest { epoch: Epoch(256) });
+    assert_eq!(heartbeats(&mut node, 50, Event::Tick), 0);
+    assert_eq!(heartbeats(&mut node, 60, request()), 1);
+    // A burst of grants shares the next heartbeat.
+    assert_eq!(heartbeats(&mut node, 62, request()), 0);
+    assert_eq!(heartbeats(&mut node, 63, request()), 0);
+    assert_eq!(heartbeats(&mut node, 70, Event::Tick), 1);
 }
 
-/// Guards against beats for a leader that is followed no more.
+/// Guards against heartbeats to a leader that is no longer followed.
 #[test]
 fn other_epoch() {
     let mut node = following();
-    let prompt = message(PeerMessage::HeartbeatRequest { epoch: Epoch(255) });
-    assert_eq!(beats(&mut node, 60, prompt), 0);
+    let request = message(PeerMessage::HeartbeatRequest { epoch: Epoch(255) });
+    assert_eq!(heartbeats(&mut node, 60, request), 0);
 }
--- a/crates/mesh/tests/retry_budget.rs
+++ b/crates/mesh/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Second attempts stay within what all nodes together may make.
+//! Budgets that limit the second attempts of all nodes together.
 
 use std::time::Duration;
 
@@ -18,18 +18,18 @@
     (0..nodes).map(new).collect()
 }
 
-/// Every server of a service sheds half of what it gets. Each proof needs calls to that service, a
-/// proof whose call was shed fails and is tried again, and its second run makes its calls again.
-/// The called service then counts both: the second attempts at calls, and the calls of second runs.
+/// Returns the repeated and the allowed calls if every server of a called service refuses half of its calls.
+/// A job whose call was refused fails and runs again, and its second run repeats the calls. The repeated
+/// calls are the second attempts of calls and the calls of second runs.
 fn repeats(nodes: usize, slack: f64) -> (f64, f64) {
-    let mut proofs = budgets(nodes, slack);
-    let mut calls = proofs.clone();
+    let mut jobs = budgets(nodes, slack);
+    let mut calls = jobs.clone();
     let (mut repeats, mut first) = (0_u32, 0_u32);
     for ms in 0..10_000 {
         let node = ms as usize % nodes;
         let now = at(ms);
-        proofs[node].deposit(now);
-        let runs = 1 + u32::from(proofs[node].withdraw(now, nodes));
+        jobs[node].deposit(now);
+        let runs = 1 + u32::from(jobs[node].withdraw(now, nodes));
         for run in 0..runs {
             calls[node].deposit(now);
             first += u32::from(run == 0);
@@ -46,16 +46,16 @@
     assert!(repeats <= allowed, "{repeats} repeats, {allowed} allowed");
 }
 
-/// The same in a fleet of ninety nodes: each of them meets its first failures at the same time.
+/// The same in a fleet of ninety nodes, which all see their first failures at the same time.
 #[test]
 fn many_nodes() {
     let (repeats, allowed) = repeats(91, 222.0);
     assert!(repeats <= allowed, "{repeats} repeats, {allowed} allowed");
 }
 
-/// Three services call one that sheds half of what it gets, and fail with it, on a day with few requests.
-/// Each spends its own part of the slack on second runs, and the calls of all these count at the one that
-/// is called, beside its own second attempts.
+/// Guards against exceeding the budget of a service with several callers at a low request rate. Three
+/// services call one that refuses half of its calls, and fail with it. Each uses its own slack for second
+/// runs, and all their calls count at the called service, in addition to its own second attempts.
 #[test]
 fn many_callers() {
     let mut callers: Vec<Vec<RetryBudget>> = (0..3).map(|_| budgets(16, SLACK)).collect();
@@ -80,9 +80,9 @@
     );
 }
 
-/// A service that answers everything again pays for its failures at once.
+/// Withdrawals older than the window no longer count, so a service that has recovered has its budget again.
 #[test]
-fn old_spending() {
+fn old_withdrawals() {
     let mut budget = RetryBudget::new(RATIO, WINDOW, 0.0);
     for ms in 0..100 {
         budget.deposit(at(ms));
--- a/crates/mesh/tests/routing.rs
+++ b/crates/mesh/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Which route and which service a request goes to.
+//! Selection of a request's route and service.
 #![allow(clippy::unwrap_used, clippy::panic)]
 
 use std::time::Duration;
@@ -15,7 +15,7 @@
         name: name.parse().unwrap(),
         host: host.to_owned(),
         prefix: prefix.to_owned(),
-        services: vec![part("one", 1)],
+        services: vec![weighted("one", 1)],
         kind: RequestKind::Idempotent,
         timeout: None,
         objective: Duration::from_secs(1),
@@ -24,7 +24,7 @@
     }
 }
 
-fn part(service: &str, weight: u32) -> WeightedService {
+fn weighted(service: &str, weight: u32) -> WeightedService {
     WeightedService {
         service: service.parse().unwrap(),
         weight,
@@ -35,7 +35,7 @@
     table.find(host, path).map(|route| route.name.to_string())
 }
 
-/// The longest prefix of the request's own host wins; a port and the host's case do not matter.
+/// The longest matching prefix of the request's host is selected, regardless of the port and the host's case.
 #[test]
 fn longest_prefix() {
     let config = RoutingConfig {
@@ -59,10 +59,10 @@
     assert_eq!(found(&table, "c.example", "/x/"), None);
 }
 
-/// Three hundred requests show the weights to within one request.
+/// Three hundred requests are distributed exactly by weight.
 #[test]
 fn weights() {
-    let services = [part("one", 90), part("two", 10)];
+    let services = [weighted("one", 90), weighted("two", 10)];
     let mut round_robin = WeightedRoundRobin::default();
     let chosen = (0..300).filter(|_| round_robin.next_index(&services) == 1);
     assert_eq!(chosen.count(), 30);
--- a/crates/mesh/tests/unknown_document.rs
+++ b/crates/mesh/tests/unknown_document.rs
@@ -17,13 +17,13 @@
 
 use lone_node::at;
 use lone_node::heartbeat;
-use lone_node::life;
+use lone_node::incarnation;
 use lone_node::node;
 
 fn leader() -> Event {
     let record = LeaderRecord {
         epoch: Epoch(256),
-        leader: life("node-2"),
+        leader: incarnation("node-2"),
         control: "127.0.0.2:7620".parse().unwrap(),
         voters: Vec::new(),
         takeover_complete: true,
@@ -41,9 +41,9 @@
     })
 }
 
-/// Returns the newest beat of a node whose server was heard often enough by heartbeat, a second after the
-/// node's start.
-fn beat(granting: Granting, known: bool) -> NodeHeartbeat {
+/// Returns the newest heartbeat of a node a second after its start, with enough heartbeats received from its
+/// server for a grant by heartbeat.
+fn newest_heartbeat(granting: Granting, known: bool) -> NodeHeartbeat {
     let mut node = node(granting);
     let mut events = vec![(0, leader())];
     if known {
@@ -54,19 +54,19 @@
     let mut newest = None;
     for (ms, event) in events {
         for action in node.step(at(ms), event) {
-            if let Action::Send(_, PeerMessage::Heartbeat(beat)) = action {
-                newest = Some(*beat);
+            if let Action::Send(_, PeerMessage::Heartbeat(message)) = action {
+                newest = Some(*message);
             }
         }
     }
     newest.unwrap()
 }
 
-/// Guards against a second owner: a node that takes its host's way of granting for its service's would say
-/// that its server holds nothing, while calls of its earlier process are still obeyed.
+/// Guards against a second owner. If a node used its host's way of granting instead of its service's, it would
+/// report that its server holds nothing, while calls of its earlier process may still be executed.
 #[test]
-fn way_of_granting() {
-    assert!(beat(Granting::ByHeartbeat, true).holding_complete);
-    assert!(!beat(Granting::ByHeartbeat, false).holding_complete);
-    assert!(!beat(Granting::ByCall, false).holding_complete);
+fn unknown_granting() {
+    assert!(newest_heartbeat(Granting::ByHeartbeat, true).holding_complete);
+    assert!(!newest_heartbeat(Granting::ByHeartbeat, false).holding_complete);
+    assert!(!newest_heartbeat(Granting::ByCall, false).holding_complete);
 }
