--- a/crates/mesh/src/placement/pick_moves.rs
+++ b/crates/mesh/src/placement/pick_moves.rs
@@ -54,7 +54,7 @@
     exhausted: bool,
 }
 
-/// Picks at most `most` runs of keys whose moves level the load of a service's servers, each from the
+/// Picks at most `max_moves` runs of keys whose moves level the load of a service's servers, each from the
 /// busiest server to the least loaded one.
 ///
 /// Several moves are picked at once, because a hot range needs the capacity of several servers, and one
@@ -64,14 +64,14 @@
 /// If the demand on a service exceeds the capacity of all its servers, a server's load is taken relative
 /// to the mean. Refused requests come back and are counted again, so otherwise no target would ever have
 /// free capacity.
-pub fn pick_moves(servers: &[Candidate], most: usize) -> Vec<KeyMove> {
+pub fn pick_moves(servers: &[Candidate], max_moves: usize) -> Vec<KeyMove> {
     let scale = mean_load(servers).max(1.0);
     let scaled = servers
         .iter()
         .map(|server| ProjectedServer::new(server, scale));
     let mut projected: Vec<ProjectedServer> = scaled.collect();
     let mut moves = Vec::new();
-    while moves.len() < most {
+    while moves.len() < max_moves {
         let Some((from, to)) = widest_gap(&projected) else {
             break;
         };
@@ -146,9 +146,10 @@
     let run = narrowest_run(&source.key_loads, wanted, level * source.slowness);
     // A busy key can't be divided. A run that overshoots the level is better than none, as long as the
     // target ends up less loaded than the source was.
-    let most = ((source.load - target.load) * MAX_GAP_SHARE).min(MAX_TARGET_LOAD - target.load)
+    let max_slots = ((source.load - target.load) * MAX_GAP_SHARE)
+        .min(MAX_TARGET_LOAD - target.load)
         / target.slot_load();
-    let run = run.or_else(|| narrowest_run(&source.key_loads, wanted, most * source.slowness));
+    let run = run.or_else(|| narrowest_run(&source.key_loads, wanted, max_slots * source.slowness));
     let (keys, slots) = run?;
     Some(KeyMove {
         keys,
--- a/crates/mesh/tests/admission.rs
+++ b/crates/mesh/tests/admission.rs
@@ -80,7 +80,8 @@
 }
 
 /// Guards against a burst of twice the capacity in which every response is late. That happens if requests
-/// are admitted by deadline alone; requests that can still be in time go first instead.
+/// are admitted by deadline alone. Requests that can still be in time go first instead, so that most of the
+/// capacity is used for these.
 #[test]
 fn burst() {
     let mut admission = admission(10);
--- a/crates/mesh/tests/ownership_support/tracing.rs
+++ b/crates/mesh/tests/ownership_support/tracing.rs
@@ -15,7 +15,7 @@
 pub fn line(action: &Action) -> String {
     match action {
         Action::Send(to, PeerMessage::Heartbeat(heartbeat)) => format!(
-            "heartbeat {} to {to} epoch {} applied reply {:?} lease left {} holding complete {} holding known, silent {:?} holding {}",
+            "heartbeat {} to {to} epoch {} reply {:?} left {} complete {} known {:?} holding {}",
             heartbeat.sequence,
             heartbeat.epoch,
             heartbeat.applied_reply,
--- a/crates/mesh/tests/placement.rs
+++ b/crates/mesh/tests/placement.rs
@@ -91,10 +91,10 @@
     assert_eq!((chosen.from, chosen.to), (0, 2));
 }
 
-/// Guards against a hot range that cools before it is distributed. Two hundred neighbouring keys suddenly get
-/// a third of a whole service's requests, ten times their server's capacity. Moves to one server after another
-/// would take longer than the range stays hot. Two rounds of moves must leave
-/// no server above its capacity.
+/// Guards against a hot range that cools before it is distributed. Two hundred neighbouring keys suddenly
+/// get a third of a whole service's requests, ten times their server's capacity. Moves to one server after
+/// another would take longer than the range stays hot. Two rounds of moves must leave no server above its
+/// capacity.
 #[test]
 fn spread_at_once() {
     let mut hot = server(2_000, 10.0);
--- a/crates/mesh/tests/unknown_document.rs
+++ b/crates/mesh/tests/unknown_document.rs
@@ -62,8 +62,8 @@
     newest.unwrap()
 }
 
-/// Guards against a second owner. If a node used its host's way of granting instead of its service's, it would
-/// report that its server holds nothing, while calls of its earlier process may still be executed.
+/// Guards against a second owner. If a node used its host's way of granting instead of its service's, it
+/// would report that its server holds nothing, while calls of its earlier process may still be executed.
 #[test]
 fn unknown_granting() {
     assert!(newest_heartbeat(Granting::ByHeartbeat, true).holding_complete);
