--- a/crates/node/src/control/control_board.rs
+++ b/crates/node/src/control/control_board.rs
@@ -1,4 +1,4 @@
-//! What the control thread tells the rest of the node about itself.
+//! State of the control thread for readers on other threads.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -12,29 +12,29 @@
 
 use super::SliceCounts;
 
-/// Is written by the control thread and read by whoever answers operators.
+/// Control state shown on the admin port; only the control thread and its tasks write it.
 #[derive(Debug, Default)]
 pub struct ControlBoard {
     /// The controller that the node follows.
     pub controller: ArcSwapOption<ControllerStatus>,
-    /// Whether the log service answered the last read of the intent stream.
+    /// Whether the last read of the intent stream got a response from the log service.
     pub log_reachable: AtomicBool,
     intent_since: AtomicU64,
     slices: Mutex<SliceCounts>,
 }
 
 impl ControlBoard {
-    /// Returns when the intent in force was taken over.
+    /// Returns when the intent in force was adopted.
     pub fn intent_since(&self) -> Moment {
         Moment(self.intent_since.load(Ordering::Relaxed))
     }
 
-    /// Notes when newer intent was taken over.
+    /// Records when newer intent was adopted.
     pub fn set_intent_since(&self, now: Moment) {
         self.intent_since.store(now.0, Ordering::Relaxed);
     }
 
-    /// Lets `change` count a change of ownership.
+    /// Applies `change` to the counts of ownership changes.
     pub fn update_slices<F>(&self, change: F)
     where
         F: FnOnce(&mut SliceCounts),
@@ -42,7 +42,7 @@
         change(&mut self.slices.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// Copies the counts of changes of ownership.
+    /// Returns a copy of the counts of ownership changes.
     pub fn slices(&self) -> SliceCounts {
         self.slices
             .lock()
--- a/crates/node/src/control/control_event.rs
+++ b/crates/node/src/control/control_event.rs
@@ -1,4 +1,4 @@
-//! What reaches the control thread.
+//! Inputs of the control thread.
 
 use std::net::SocketAddr;
 
@@ -8,14 +8,14 @@
 use quetzalrack_core::ownership::OwnershipEvent;
 use quetzalrack_core::ownership::PeerMessage;
 
-/// Is one input of the control thread.
+/// One input of the control thread.
 #[derive(Debug)]
 pub enum ControlEvent {
     /// A read of the intent stream ended.
     IntentRead(ReadOutcome),
     /// A read of the control stream ended.
     ControlRead(ReadOutcome),
-    /// A datagram of another node arrived, already authenticated.
+    /// An authenticated datagram of a peer arrived.
     Message {
         /// The sender's heartbeat address.
         from: SocketAddr,
@@ -24,14 +24,14 @@
     },
     /// The backend server beside this node announced itself.
     Announced(Box<Announcement>),
-    /// Something that the ownership state machine asked for has ended.
+    /// The result of an action that the ownership state machine requested.
     Ownership(Box<OwnershipEvent>),
-    /// Another node sent its newer intent.
+    /// A peer sent newer intent.
     SnapshotFound(Box<IntentSnapshot>),
-    /// The keys were replaced.
+    /// The node and operator keys were replaced.
     KeysChanged,
-    /// The process was asked to leave.
+    /// A graceful shutdown of the process was requested.
     ShutdownRequested,
-    /// Everything is finished; the thread ends.
+    /// The node is being dropped; the thread exits.
     Stop,
 }
--- a/crates/node/src/control/control_inbox.rs
+++ b/crates/node/src/control/control_inbox.rs
@@ -1,4 +1,4 @@
-//! The way to the control thread.
+//! The control thread's event queue.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,40 +13,40 @@
 use super::ControlEvent;
 use crate::platform::PeerInbox;
 
-/// Bounds the datagrams that wait for the control thread. What a flood displaces is repeated by
-/// its sender; results of the node's own work are never dropped.
-const MOST_WAITING: usize = 4096;
+/// Maximum number of datagrams queued for the control thread; excess ones are dropped because their
+/// senders repeat them. Results of the node's own actions are never dropped.
+const MAX_QUEUED_MESSAGES: usize = 4096;
 
 /// Sends events to the control thread; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct ControlInbox {
     sender: Sender<ControlEvent>,
-    waiting: Arc<AtomicUsize>,
+    queued: Arc<AtomicUsize>,
 }
 
 impl ControlInbox {
-    /// Opens an inbox and returns it with the end that the control thread reads.
+    /// Creates an inbox and returns it with the receiver for the control thread.
     pub fn open() -> (Self, Receiver<ControlEvent>) {
         let (sender, receiver) = mpsc::channel();
-        let waiting = Arc::new(AtomicUsize::new(0));
-        (Self { sender, waiting }, receiver)
+        let queued = Arc::new(AtomicUsize::new(0));
+        (Self { sender, queued }, receiver)
     }
 
-    /// Sends one event; after the control thread has ended, nobody needs it.
+    /// Sends one event; it is discarded if the control thread has exited.
     pub fn send(&self, event: ControlEvent) {
         let _ = self.sender.send(event);
     }
 
-    /// Makes room for another datagram after one was taken.
+    /// Frees the queue slot of a datagram that the control thread has received.
     pub(super) fn release_slot(&self) {
-        self.waiting.fetch_sub(1, Ordering::Relaxed);
+        self.queued.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl PeerInbox for ControlInbox {
     fn deliver(&self, from: SocketAddr, message: PeerMessage) -> bool {
-        if self.waiting.fetch_add(1, Ordering::Relaxed) >= MOST_WAITING {
-            self.waiting.fetch_sub(1, Ordering::Relaxed);
+        if self.queued.fetch_add(1, Ordering::Relaxed) >= MAX_QUEUED_MESSAGES {
+            self.queued.fetch_sub(1, Ordering::Relaxed);
             return false;
         }
         let message = Box::new(message);
--- a/crates/node/src/control/control_loop.rs
+++ b/crates/node/src/control/control_loop.rs
@@ -25,38 +25,38 @@
 use super::ownership_driver::OwnershipDriver;
 use super::server_tracker::ServerTracker;
 
-/// How often the state machines learn that time has passed.
-const TICK: Duration = Duration::from_millis(50);
-/// How often the traffic threads' counts are read.
-const MEASURE: Duration = Duration::from_millis(200);
+/// Interval between ticks of the state machines.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between reads of the traffic threads' statistics.
+const STATS_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Runs both state machines on one thread.
+/// Runs the intent and ownership state machines on one thread.
 pub struct ControlLoop {
     parts: ControlParts,
     intent: IntentDriver,
     ownership: OwnershipDriver,
     server: ServerTracker,
-    ticked: Moment,
-    measured: Moment,
-    republishes: bool,
+    last_tick: Moment,
+    last_stats: Moment,
+    may_republish: bool,
 }
 
 impl ControlLoop {
-    /// Starts the thread; it ends after [`ControlEvent::Stop`], or when every sender is gone. The
-    /// receiver becomes true when the thread ends, whatever the reason.
+    /// Starts the thread; it exits after [`ControlEvent::Stop`], or when every sender is dropped. The
+    /// returned receiver becomes true when the thread exits, also by a panic.
     pub fn spawn(
         parts: ControlParts,
         receiver: Receiver<ControlEvent>,
         seed: u64,
     ) -> io::Result<(JoinHandle<()>, watch::Receiver<bool>)> {
-        let (sender, ended) = watch::channel(false);
+        let (sender, exited) = watch::channel(false);
         let name = "control".to_owned();
         let thread = thread::Builder::new().name(name).spawn(move || {
-            let _notice = ExitNotifier(sender);
-            let control = Self::open(parts, seed);
-            control.run(&receiver);
+            let _notifier = ExitNotifier(sender);
+            let control_loop = Self::open(parts, seed);
+            control_loop.run(&receiver);
         })?;
-        Ok((thread, ended))
+        Ok((thread, exited))
     }
 
     fn open(parts: ControlParts, seed: u64) -> Self {
@@ -65,35 +65,35 @@
             intent: IntentDriver::open(&parts),
             ownership: OwnershipDriver::open(&parts, seed),
             server: ServerTracker::default(),
-            ticked: now,
-            measured: now,
-            republishes: false,
+            last_tick: now,
+            last_stats: now,
+            may_republish: false,
             parts,
         }
     }
 
     fn run(mut self, receiver: &Receiver<ControlEvent>) {
         loop {
-            self.follow_log();
-            let waited = self.parts.boundaries.clock.now().since(self.ticked);
-            let event = receiver.recv_timeout(TICK.saturating_sub(waited));
-            // The clock is read after the wait: a thread that was paused in it finds its leases
-            // lapsed before it acts on anything.
+            self.read_log();
+            let elapsed = self.parts.boundaries.clock.now().since(self.last_tick);
+            let event = receiver.recv_timeout(TICK_INTERVAL.saturating_sub(elapsed));
+            // The clock is read after the wait, so that a thread that was suspended during it
+            // detects lapsed leases before it handles the event.
             let now = self.parts.boundaries.clock.now();
             match event {
                 Ok(ControlEvent::Stop) | Err(RecvTimeoutError::Disconnected) => return,
                 Ok(event) => self.handle(now, event),
                 Err(RecvTimeoutError::Timeout) => {}
             }
-            if now.since(self.ticked) >= TICK {
+            if now.since(self.last_tick) >= TICK_INTERVAL {
                 self.tick(now);
             }
             self.parts.meter.note();
         }
     }
 
-    /// Reads both streams on, where this node has to.
-    fn follow_log(&mut self) {
+    /// Continues reading the streams that this node has to apply_intent itself.
+    fn read_log(&mut self) {
         let now = self.parts.boundaries.clock.now();
         let needs_intent = self.ownership.state().needs_intent_stream(now);
         self.intent.follow(needs_intent, &self.parts);
@@ -103,56 +103,56 @@
     fn handle(&mut self, now: Moment, event: ControlEvent) {
         match event {
             ControlEvent::IntentRead(outcome) => {
-                let found = self.intent.take_read(now, outcome, &self.parts);
-                self.follow(now, found);
+                let newest = self.intent.handle_read(now, outcome, &self.parts);
+                self.apply_intent(now, newest);
             }
             ControlEvent::ControlRead(outcome) => {
-                self.ownership.take_read(now, outcome, &self.parts);
+                self.ownership.handle_read(now, outcome, &self.parts);
             }
             ControlEvent::Message { from, message } => {
                 self.parts.inbox.release_slot();
                 let message = *message;
-                self.own(now, OwnershipEvent::MessageReceived { from, message });
+                self.step_ownership(now, OwnershipEvent::MessageReceived { from, message });
             }
-            ControlEvent::Announced(announcement) => self.hear_server(now, *announcement),
-            ControlEvent::Ownership(event) => self.own(now, *event),
+            ControlEvent::Announced(announcement) => self.handle_announcement(now, *announcement),
+            ControlEvent::Ownership(event) => self.step_ownership(now, *event),
             ControlEvent::SnapshotFound(snapshot) => {
-                self.plan(now, IntentEvent::SnapshotReceived(snapshot));
+                self.step_intent(now, IntentEvent::SnapshotReceived(snapshot));
             }
             ControlEvent::KeysChanged => {
                 let keys = (*self.parts.keys.operators()).clone();
-                self.plan(now, IntentEvent::KeysChanged(keys));
+                self.step_intent(now, IntentEvent::KeysChanged(keys));
             }
             ControlEvent::ShutdownRequested => {
                 self.parts.view.shutting_down.store(true, Ordering::Release);
-                self.own(now, OwnershipEvent::ShutdownRequested);
+                self.step_ownership(now, OwnershipEvent::ShutdownRequested);
             }
-            // The loop ends before it comes here.
+            // `run` returns on this event.
             ControlEvent::Stop => {}
         }
     }
 
     fn tick(&mut self, now: Moment) {
-        self.ticked = now;
+        self.last_tick = now;
         let sources = IntentSources::of(self.ownership.state());
-        let found = self.intent.tick(now, &sources, &self.parts);
-        self.follow(now, found);
+        let newest = self.intent.tick(now, &sources, &self.parts);
+        self.apply_intent(now, newest);
         if self.server.take_lost(now) {
-            log::warn!(event = "server_lost"; "the backend server stopped announcing itself");
+            log::warn!(event = "server_lost"; "no announcement from the backend server for too long");
             self.parts.view.announcement.store(None);
-            self.own(now, OwnershipEvent::ServerLost);
+            self.step_ownership(now, OwnershipEvent::ServerLost);
         }
-        self.own(now, OwnershipEvent::Tick);
-        if now.since(self.measured) >= MEASURE {
-            self.measured = now;
-            let measure = self.parts.traffic.stats();
-            self.own(now, OwnershipEvent::TrafficMeasured(measure));
-            self.show_controller(now);
+        self.step_ownership(now, OwnershipEvent::Tick);
+        if now.since(self.last_stats) >= STATS_INTERVAL {
+            self.last_stats = now;
+            let stats = self.parts.traffic.stats();
+            self.step_ownership(now, OwnershipEvent::TrafficMeasured(stats));
+            self.publish_controller(now);
         }
     }
 
-    fn hear_server(&mut self, now: Moment, announcement: Announcement) {
-        if !self.server.hear(now, &announcement) {
+    fn handle_announcement(&mut self, now: Moment, announcement: Announcement) {
+        if !self.server.record_announcement(now, &announcement) {
             return;
         }
         let known = self.parts.view.announcement.load_full();
@@ -166,32 +166,33 @@
         }
         let shared = Arc::new(announcement.clone());
         self.parts.view.announcement.store(Some(shared));
-        self.own(now, OwnershipEvent::ServerAnnounced(announcement));
+        self.step_ownership(now, OwnershipEvent::ServerAnnounced(announcement));
     }
 
-    fn own(&mut self, now: Moment, event: OwnershipEvent) {
+    fn step_ownership(&mut self, now: Moment, event: OwnershipEvent) {
         self.ownership.step(now, event, &self.parts);
     }
 
-    fn plan(&mut self, now: Moment, event: IntentEvent) {
-        let found = self.intent.step(now, event, &self.parts);
-        self.follow(now, found);
+    fn step_intent(&mut self, now: Moment, event: IntentEvent) {
+        let newest = self.intent.step(now, event, &self.parts);
+        self.apply_intent(now, newest);
     }
 
-    fn follow(&mut self, now: Moment, found: Option<Arc<InForce>>) {
-        if let Some(in_force) = found {
-            self.own(now, OwnershipEvent::IntentChanged(in_force));
+    fn apply_intent(&mut self, now: Moment, newest: Option<Arc<InForce>>) {
+        if let Some(in_force) = newest {
+            self.step_ownership(now, OwnershipEvent::IntentChanged(in_force));
         }
     }
 
-    /// Shows whom the node follows, and lets the controller alone keep the intent stream alive.
-    fn show_controller(&mut self, now: Moment) {
+    /// Publishes which controller the node follows, and allows only the controller to republish the
+    /// intent.
+    fn publish_controller(&mut self, now: Moment) {
         let status = self.controller_status();
-        let is_here = status.as_ref().is_some_and(|status| status.here);
+        let is_controller = status.as_ref().is_some_and(|status| status.here);
         self.parts.board.controller.store(status.map(Arc::new));
-        if is_here != self.republishes {
-            self.republishes = is_here;
-            self.plan(now, IntentEvent::RepublishAllowed(is_here));
+        if is_controller != self.may_republish {
+            self.may_republish = is_controller;
+            self.step_intent(now, IntentEvent::RepublishAllowed(is_controller));
         }
     }
 
--- a/crates/node/src/control/control_parts.rs
+++ b/crates/node/src/control/control_parts.rs
@@ -1,4 +1,4 @@
-//! What the control thread works with.
+//! Dependencies of the control thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,40 +21,41 @@
 use crate::shared::SharedView;
 use crate::shared::TrafficControl;
 
-/// Holds everything that the control thread reaches out to.
+/// Configuration and dependencies of the control thread.
 pub struct ControlParts {
     /// The environment.
     pub environment: EnvironmentName,
-    /// The stage that is followed.
+    /// The stage whose intent the node follows.
     pub stage: Stage,
-    /// Who this node is.
+    /// This node's identity and addresses.
     pub member: Member,
-    /// Control addresses of other nodes, asked while the log is down.
+    /// Control addresses of peers that are queried for intent while the log service is unreachable.
     pub seeds: Vec<SocketAddr>,
-    /// Heartbeat addresses of other nodes, asked for the controller while the log is down.
+    /// Heartbeat addresses of peers that are queried for the controller while the log service is
+    /// unreachable.
     pub peers: Vec<SocketAddr>,
-    /// The far sides.
+    /// The external dependencies.
     pub boundaries: Boundaries,
-    /// The sending side towards other nodes.
+    /// Sends datagrams to peers.
     pub link: Arc<dyn PeerLink>,
-    /// Calls to other nodes.
+    /// Makes calls to peers.
     pub calls: CallClient,
     /// The keys in force.
     pub keys: Arc<KeyStore>,
-    /// The traffic threads' side of ownership.
+    /// Applies changes of ownership at the traffic threads.
     pub traffic: Arc<dyn TrafficControl>,
-    /// What traffic threads read.
+    /// The state shared with the traffic threads.
     pub view: Arc<SharedView>,
-    /// What operators read.
+    /// The control state shown on the admin port.
     pub board: Arc<ControlBoard>,
-    /// The newest intent as a snapshot for other nodes.
+    /// The newest intent as a snapshot for peers.
     pub snapshot: Arc<ArcSwapOption<IntentSnapshot>>,
-    /// Where slow work runs.
+    /// The runtime for I/O.
     pub runtime: Handle,
-    /// The way back from there.
+    /// Receives the results of that I/O.
     pub inbox: ControlInbox,
-    /// The thread's processor time.
+    /// Records the control thread's processor time.
     pub meter: Arc<ThreadMeter>,
-    /// Set once every slice is released after a shutdown was asked for.
+    /// Set once every slice is released during a shutdown.
     pub released: watch::Sender<bool>,
 }
--- a/crates/node/src/control/exit_notifier.rs
+++ b/crates/node/src/control/exit_notifier.rs
@@ -1,11 +1,11 @@
-//! Telling that a thread has ended.
+//! Notification that a thread has exited.
 
 use tokio::sync::watch;
 
-/// Tells its receivers when it is dropped, also by a panic.
+/// Notifies its receivers when it is dropped, also by a panic.
 ///
-/// A node whose control thread is gone would go on answering operators while all its leases lapse;
-/// whoever waits for the node learns of it here and ends the process.
+/// Without its control thread a node would go on answering operators while all its leases lapse.
+/// The notification makes `RunningNode::wait` return an error, which ends the process.
 pub(super) struct ExitNotifier(pub(super) watch::Sender<bool>);
 
 impl Drop for ExitNotifier {
--- a/crates/node/src/control/intent_driver.rs
+++ b/crates/node/src/control/intent_driver.rs
@@ -1,4 +1,4 @@
-//! The intent half of the control thread.
+//! Runs the intent state machine on the control thread.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -20,20 +20,20 @@
 use super::intent_sources::IntentSources;
 use super::log_tail::LogTail;
 
-/// How long one read waits at the log service for a record. A log service that is cut off without
-/// a word is noticed this much and a second later; then other nodes are asked, in time for the five
-/// seconds in which newer intent is in force everywhere.
+/// How long one read waits at the log service for a record. A log service that silently becomes
+/// unreachable is detected one second after this wait; peers are queried then, within the five
+/// seconds after which newer intent must be in force everywhere.
 const LONG_POLL: Duration = Duration::from_secs(3);
 
-/// Follows the intent stream and carries out what its reader asks.
+/// Follows the intent stream and executes the actions of the intent state machine.
 pub(super) struct IntentDriver {
     state: IntentState,
     tail: LogTail,
-    questions: IntentQueries,
+    queries: IntentQueries,
 }
 
 impl IntentDriver {
-    /// Opens the reader.
+    /// Creates the state machine.
     pub(super) fn open(parts: &ControlParts) -> Self {
         let config = IntentConfig {
             environment: parts.environment.clone(),
@@ -45,23 +45,23 @@
         Self {
             state: IntentState::open(config),
             tail: LogTail::open(stream, ControlEvent::IntentRead, LONG_POLL),
-            questions: IntentQueries::default(),
+            queries: IntentQueries::default(),
         }
     }
 
-    /// Reads on while this node has to follow the stream itself.
+    /// Continues reading if `is_needed`: this node has to follow the stream itself.
     pub(super) fn follow(&mut self, is_needed: bool, parts: &ControlParts) {
         self.tail.follow(is_needed, self.state.next_offset(), parts);
     }
 
-    /// Takes the outcome of a read and returns newer intent.
-    pub(super) fn take_read(
+    /// Handles the outcome of a read and returns newer intent, if any.
+    pub(super) fn handle_read(
         &mut self,
         now: Moment,
         outcome: ReadOutcome,
         parts: &ControlParts,
     ) -> Option<Arc<InForce>> {
-        self.note_answer(&outcome, parts);
+        self.record_reachability(&outcome, parts);
         match outcome {
             ReadOutcome::Entries {
                 entries, at_end, ..
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Lets time pass, and asks other nodes while the log can't tell what is in force, or once the
-    /// controller told of something newer.
+    /// Advances the state machine's time. Queries peers while the log service can't provide the
+    /// newest intent, or when the controller has announced a newer version.
     pub(super) fn tick(
         &mut self,
         now: Moment,
@@ -80,17 +80,17 @@
         parts: &ControlParts,
     ) -> Option<Arc<InForce>> {
         let wall = parts.boundaries.clock.wall();
-        let found = self.step(now, IntentEvent::Tick { wall }, parts);
+        let newest = self.step(now, IntentEvent::Tick { wall }, parts);
         let version = self.state.version();
-        let is_cut_off = self.tail.is_failing() || !self.state.is_caught_up();
-        let is_behind = sources.told > version && !self.tail.is_reading();
-        if is_behind || (self.tail.is_needed() && is_cut_off) {
-            self.questions.ask(now, version, sources, parts);
+        let may_lag = self.tail.is_failing() || !self.state.is_caught_up();
+        let is_behind = sources.announced > version && !self.tail.is_reading();
+        if is_behind || (self.tail.is_needed() && may_lag) {
+            self.queries.query_next(now, version, sources, parts);
         }
-        found
+        newest
     }
 
-    /// Gives the reader one event, does what it asks, and returns newer intent.
+    /// Passes one event to the state machine, executes its actions, and returns newer intent, if any.
     pub(super) fn step(
         &mut self,
         now: Moment,
@@ -109,7 +109,7 @@
                     self.append(data, parts);
                 }
                 IntentAction::Explain(happening) => {
-                    log::info!(event = "intent_record", verdict:? = happening; "a record of the intent stream was judged");
+                    log::info!(event = "intent_record", verdict:? = happening; "processed a record of the intent stream");
                     parts.view.explanations.record(Explanation {
                         at: parts.boundaries.clock.wall(),
                         happening: happening.into(),
@@ -137,15 +137,18 @@
         let stream = self.tail.stream().clone();
         parts.runtime.spawn(async move {
             let outcome = log.append(&stream, data).await;
-            log::debug!(event = "intent_append_finished", outcome:? = outcome; "an append to the intent stream ended");
+            log::debug!(event = "intent_append_finished", outcome:? = outcome; "finished an append to the intent stream");
         });
     }
 
-    fn note_answer(&mut self, outcome: &ReadOutcome, parts: &ControlParts) {
-        let answered = *outcome != ReadOutcome::Unavailable;
+    fn record_reachability(&mut self, outcome: &ReadOutcome, parts: &ControlParts) {
+        let reachable = *outcome != ReadOutcome::Unavailable;
         if self.tail.record_outcome(outcome) {
-            log::warn!(event = "log_reachable", reachable = answered; "the log service changed its condition");
+            log::warn!(event = "log_reachable", reachable = reachable; "the log service became reachable or unreachable");
         }
-        parts.board.log_reachable.store(answered, Ordering::Relaxed);
+        parts
+            .board
+            .log_reachable
+            .store(reachable, Ordering::Relaxed);
     }
 }
--- a/crates/node/src/control/intent_queries.rs
+++ b/crates/node/src/control/intent_queries.rs
@@ -1,4 +1,4 @@
-//! Asking other nodes for intent while the log can't tell.
+//! Queries to peers for intent that the log service doesn't provide.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,35 +11,38 @@
 use super::intent_sources::IntentSources;
 use crate::calls::IntentQuery;
 
-/// How often another node is asked.
-const EVERY: Duration = Duration::from_millis(500);
+/// Interval between queries.
+const QUERY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Asks one other node after the other, so that a node which starts while the log is down, or
-/// which slept past retention, follows what its neighbours follow.
+/// Queries one peer after the other, so that a node that starts while the log service is unreachable,
+/// or that was suspended for longer than the log's retention, follows the same intent as its peers.
 #[derive(Debug, Default)]
 pub(super) struct IntentQueries {
-    asked: Option<Moment>,
-    turn: usize,
+    last_query: Option<Moment>,
+    sequence: usize,
 }
 
 impl IntentQueries {
-    /// Asks the next node when it is time to: in turn one of those that follow the log, the
-    /// controller first, and one of all.
-    pub(super) fn ask(
+    /// Queries the next peer if the interval has passed. Alternates between the nodes that follow the
+    /// log, the controller first, and all known nodes.
+    pub(super) fn query_next(
         &mut self,
         now: Moment,
         version: Version,
         sources: &IntentSources,
         parts: &ControlParts,
     ) {
-        if self.asked.is_some_and(|asked| now.since(asked) < EVERY) {
+        if self
+            .last_query
+            .is_some_and(|last_query| now.since(last_query) < QUERY_INTERVAL)
+        {
             return;
         }
-        self.asked = Some(now);
-        let Some(to) = self.next_node(sources, parts) else {
+        self.last_query = Some(now);
+        let Some(to) = self.next_peer(sources, parts) else {
             return;
         };
-        let question = IntentQuery {
+        let query = IntentQuery {
             environment: parts.environment.clone(),
             stage: parts.stage,
             version,
@@ -47,8 +50,8 @@
         let calls = parts.calls.clone();
         let inbox = parts.inbox.clone();
         parts.runtime.spawn(async move {
-            match calls.intent_snapshot(to, &question).await {
-                Ok(Some(found)) => inbox.send(ControlEvent::SnapshotFound(Box::new(found))),
+            match calls.intent_snapshot(to, &query).await {
+                Ok(Some(snapshot)) => inbox.send(ControlEvent::SnapshotFound(Box::new(snapshot))),
                 Ok(None) => {}
                 Err(error) => log::debug!(event = "intent_question_failed", to:% = to; "{error}"),
             }
@@ -57,21 +60,21 @@
 }
 
 impl IntentQueries {
-    fn next_node(&mut self, sources: &IntentSources, parts: &ControlParts) -> Option<SocketAddr> {
-        let turn = self.turn;
-        self.turn = self.turn.wrapping_add(1);
+    fn next_peer(&mut self, sources: &IntentSources, parts: &ControlParts) -> Option<SocketAddr> {
+        let sequence = self.sequence;
+        self.sequence = self.sequence.wrapping_add(1);
         let own = parts.member.control;
         let mut readers = sources.readers.clone();
         readers.retain(|address| *address != own);
-        let known = match turn % 2 {
+        let known = match sequence % 2 {
             0 if !readers.is_empty() => readers,
-            _ => known_nodes(parts),
+            _ => known_peers(parts),
         };
-        known.get((turn / 2) % known.len().max(1)).copied()
+        known.get((sequence / 2) % known.len().max(1)).copied()
     }
 }
 
-fn known_nodes(parts: &ControlParts) -> Vec<SocketAddr> {
+fn known_peers(parts: &ControlParts) -> Vec<SocketAddr> {
     let routing = parts.view.routing.load();
     let mut known: Vec<_> = routing
         .nodes
--- a/crates/node/src/control/log_tail.rs
+++ b/crates/node/src/control/log_tail.rs
@@ -1,4 +1,4 @@
-//! Following one stream of the log.
+//! Following one stream of the log service.
 
 use std::time::Duration;
 
@@ -9,41 +9,41 @@
 use super::ControlEvent;
 use super::ControlParts;
 
-/// The first wait after a read that failed.
-const FIRST_BACKOFF: Duration = Duration::from_millis(100);
-/// The longest wait after reads that failed.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(1);
+/// Delay after the first failed read; it doubles with each further failure.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+/// Maximum delay after failed reads.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Reads one stream, one read at a time, backing off while the log service is down.
+/// Reads one stream, one read at a time, with exponential backoff while reads fail.
 pub(super) struct LogTail {
     stream: Stream,
-    wrap: fn(ReadOutcome) -> ControlEvent,
+    to_event: fn(ReadOutcome) -> ControlEvent,
     long_poll: Duration,
     failures: u32,
     /// Whether this node has to follow the stream itself.
     needed: bool,
-    /// Whether a read is under way.
+    /// Whether a read is in progress.
     reading: bool,
-    /// Whether the stream's end was seen.
-    ended: bool,
+    /// Whether the last read reached the stream's end.
+    reached_end: bool,
 }
 
 impl LogTail {
-    /// Follows `stream`; each outcome reaches the control thread as `wrap` makes it. A read waits
-    /// up to `long_poll` at the log service for a record.
+    /// Follows `stream`; `to_event` converts each outcome to an event for the control thread. A read
+    /// waits up to `long_poll` at the log service for a record.
     pub(super) fn open(
         stream: Stream,
-        wrap: fn(ReadOutcome) -> ControlEvent,
+        to_event: fn(ReadOutcome) -> ControlEvent,
         long_poll: Duration,
     ) -> Self {
         Self {
             stream,
-            wrap,
+            to_event,
             long_poll,
             needed: true,
             reading: false,
             failures: 0,
-            ended: false,
+            reached_end: false,
         }
     }
 
@@ -52,40 +52,40 @@
         &self.stream
     }
 
-    /// Notes how the last read ended; tells whether the log service's condition changed.
+    /// Records the outcome of the last read; returns whether reads began to fail or to succeed again.
     pub(super) fn record_outcome(&mut self, outcome: &ReadOutcome) -> bool {
         self.reading = false;
         let was_failing = self.failures > 0;
-        let answered = *outcome != ReadOutcome::Unavailable;
-        self.failures = match answered {
+        let succeeded = *outcome != ReadOutcome::Unavailable;
+        self.failures = match succeeded {
             true => 0,
             false => self.failures.saturating_add(1),
         };
-        self.ended = matches!(outcome, ReadOutcome::Entries { at_end: true, .. });
-        was_failing == answered
+        self.reached_end = matches!(outcome, ReadOutcome::Entries { at_end: true, .. });
+        was_failing == succeeded
     }
 
-    /// Tells whether this node has to follow the stream itself.
+    /// Returns whether this node has to follow the stream itself.
     pub(super) fn is_needed(&self) -> bool {
         self.needed
     }
 
-    /// Tells whether a read is under way.
+    /// Returns whether a read is in progress.
     pub(super) fn is_reading(&self) -> bool {
         self.reading
     }
 
-    /// Tells whether the log service failed to answer the last read.
+    /// Returns whether the last read failed.
     pub(super) fn is_failing(&self) -> bool {
         self.failures > 0
     }
 
-    /// Reads on from `from` while the stream is needed and no read is under way.
+    /// Reads from `from` if the stream is needed and no read is in progress.
     pub(super) fn follow(&mut self, is_needed: bool, from: Offset, parts: &ControlParts) {
         self.needed = is_needed;
         if !is_needed && !self.reading {
-            // What was the end may not be it any more when the stream is needed again.
-            self.ended = false;
+            // The stream may have grown by the time it is needed again.
+            self.reached_end = false;
             self.failures = 0;
         }
         if is_needed && !self.reading {
@@ -98,31 +98,31 @@
         let log = parts.boundaries.log.clone();
         let inbox = parts.inbox.clone();
         let stream = self.stream.clone();
-        let wrap = self.wrap;
-        let pause = self.pause();
-        // Nobody may claim a term before it knows the stream's end, so a node that has not seen it
-        // does not wait there: with an empty stream the first controller would be late by a whole
-        // long poll.
-        let wait = if self.ended {
+        let to_event = self.to_event;
+        let backoff = self.backoff();
+        // A node must reach the stream's end before it may claim a term, so until then its reads
+        // don't wait. Otherwise an empty stream would delay the first controller by a whole long
+        // poll.
+        let wait = if self.reached_end {
             self.long_poll
         } else {
             Duration::ZERO
         };
         parts.runtime.spawn(async move {
-            if !pause.is_zero() {
-                tokio::time::sleep(pause).await;
+            if !backoff.is_zero() {
+                tokio::time::sleep(backoff).await;
             }
             let outcome = log.read(&stream, from, wait).await;
-            inbox.send(wrap(outcome));
+            inbox.send(to_event(outcome));
         });
     }
 
-    fn pause(&self) -> Duration {
+    fn backoff(&self) -> Duration {
         match self.failures {
             0 => Duration::ZERO,
             failures => {
-                let doubled = FIRST_BACKOFF * 2_u32.pow(failures.min(8) - 1);
-                doubled.min(LONGEST_BACKOFF)
+                let doubled = MIN_BACKOFF * 2_u32.pow(failures.min(8) - 1);
+                doubled.min(MAX_BACKOFF)
             }
         }
     }
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -1,7 +1,8 @@
-//! The control thread: feeds the state machines of intent and ownership, and does what they ask.
+//! The control thread: passes events to the intent and ownership state machines and executes their
+//! actions.
 //!
-//! The thread itself never waits for I/O. Slow work runs on the service runtime, and its result
-//! comes back as an event; see `docs/design/processes.md`.
+//! The thread never waits for I/O. I/O runs on the service runtime, and its result comes back as an
+//! event; see `docs/design/processes.md`.
 
 mod control_board;
 mod control_event;
--- a/crates/node/src/control/ownership_driver.rs
+++ b/crates/node/src/control/ownership_driver.rs
@@ -1,4 +1,4 @@
-//! The ownership half of the control thread.
+//! Runs the ownership state machine on the control thread.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -29,15 +29,15 @@
 /// How long one read waits at the log service for a record.
 const LONG_POLL: Duration = Duration::from_secs(10);
 
-/// Runs the ownership state machine and carries out what it asks.
+/// Follows the control stream and executes the actions of the ownership state machine.
 pub(super) struct OwnershipDriver {
     state: Ownership,
     tail: LogTail,
-    next: Offset,
+    next_offset: Offset,
 }
 
 impl OwnershipDriver {
-    /// Opens the state machine.
+    /// Creates the state machine.
     pub(super) fn open(parts: &ControlParts, seed: u64) -> Self {
         let mut config = OwnershipConfig::new(parts.member.clone(), seed);
         config.peers = parts.peers.clone();
@@ -45,23 +45,23 @@
         Self {
             state: Ownership::open(config),
             tail: LogTail::open(stream, ControlEvent::ControlRead, LONG_POLL),
-            next: Offset::default(),
+            next_offset: Offset::default(),
         }
     }
 
-    /// Returns the state, for those who only look.
+    /// Returns the state for reading.
     pub(super) fn state(&self) -> &Ownership {
         &self.state
     }
 
-    /// Reads on while this node has to follow the stream itself.
+    /// Continues reading if this node has to follow the stream itself.
     pub(super) fn follow(&mut self, now: Moment, parts: &ControlParts) {
         let is_needed = self.state.needs_control_stream(now);
-        self.tail.follow(is_needed, self.next, parts);
+        self.tail.follow(is_needed, self.next_offset, parts);
     }
 
-    /// Takes the outcome of a read.
-    pub(super) fn take_read(&mut self, now: Moment, outcome: ReadOutcome, parts: &ControlParts) {
+    /// Handles the outcome of a read.
+    pub(super) fn handle_read(&mut self, now: Moment, outcome: ReadOutcome, parts: &ControlParts) {
         self.tail.record_outcome(&outcome);
         let event = match outcome {
             ReadOutcome::Entries {
@@ -69,11 +69,11 @@
                 next,
                 at_end,
             } => {
-                self.next = next;
+                self.next_offset = next;
                 OwnershipEvent::LogRead { entries, at_end }
             }
             ReadOutcome::Expired(oldest) => {
-                self.next = oldest;
+                self.next_offset = oldest;
                 OwnershipEvent::LogExpired(oldest)
             }
             ReadOutcome::Unavailable => OwnershipEvent::LogUnavailable,
@@ -81,16 +81,16 @@
         self.step(now, event, parts);
     }
 
-    /// Gives the state machine one event and does what it asks.
+    /// Passes one event to the state machine and executes its actions.
     pub(super) fn step(&mut self, now: Moment, event: OwnershipEvent, parts: &ControlParts) {
         for action in self.state.step(now, event) {
-            self.carry_out(action, parts);
+            self.execute(action, parts);
         }
     }
 
-    fn carry_out(&self, action: OwnershipAction, parts: &ControlParts) {
+    fn execute(&self, action: OwnershipAction, parts: &ControlParts) {
         match action {
-            OwnershipAction::Send { to, message } => send(to, &message, parts),
+            OwnershipAction::Send { to, message } => send_message(to, &message, parts),
             OwnershipAction::Append { id, data } => self.append(id, data, parts),
             OwnershipAction::GrantServer {
                 slice,
@@ -103,7 +103,7 @@
                 successor,
             } => drain_slice(slice, fence, successor, parts),
             OwnershipAction::ForgetSlice { slice, fence } => {
-                log::info!(event = "slice_forgotten", slice:% = slice, fence:% = fence; "a lease lapsed");
+                log::info!(event = "slice_forgotten", slice:% = slice, fence:% = fence; "discarded a slice whose lease lapsed");
                 parts.traffic.forget_slice(&slice, fence);
                 parts
                     .board
@@ -125,17 +125,17 @@
         let inbox = parts.inbox.clone();
         parts.runtime.spawn(async move {
             let outcome = log.append(&stream, data).await;
-            log::info!(event = "control_appended", record:% = id, outcome:? = outcome; "an append to the control stream ended");
-            answer(&inbox, OwnershipEvent::AppendFinished { id, outcome });
+            log::info!(event = "control_appended", record:% = id, outcome:? = outcome; "finished an append to the control stream");
+            send_event(&inbox, OwnershipEvent::AppendFinished { id, outcome });
         });
     }
 }
 
-fn send(to: SocketAddr, message: &PeerMessage, parts: &ControlParts) {
+fn send_message(to: SocketAddr, message: &PeerMessage, parts: &ControlParts) {
     parts.link.send(to, message);
 }
 
-fn answer(inbox: &ControlInbox, event: OwnershipEvent) {
+fn send_event(inbox: &ControlInbox, event: OwnershipEvent) {
     inbox.send(ControlEvent::Ownership(Box::new(event)));
 }
 
@@ -152,12 +152,12 @@
             slice:% = order.slice,
             fence:% = fence,
             outcome:? = outcome;
-            "a grant was passed to the backend server"
+            "sent a grant to the backend server"
         );
         if outcome == GrantOutcome::Taken {
             board.update_slices(|counts| counts.of(&order.slice.service).granted += 1);
         }
-        answer(
+        send_event(
             &inbox,
             OwnershipEvent::GrantAnswered {
                 slice: order.slice,
@@ -174,9 +174,9 @@
     let inbox = parts.inbox.clone();
     parts.runtime.spawn(async move {
         traffic.drain_slice(&slice, fence, successor.as_ref()).await;
-        log::info!(event = "slice_drained", slice:% = slice, fence:% = fence; "a slice was handed over");
+        log::info!(event = "slice_drained", slice:% = slice, fence:% = fence; "drained a slice");
         board.update_slices(|counts| counts.of(&slice.service).released += 1);
-        answer(&inbox, OwnershipEvent::SliceDrained { slice, fence });
+        send_event(&inbox, OwnershipEvent::SliceDrained { slice, fence });
     });
 }
 
@@ -187,7 +187,7 @@
             .board
             .update_slices(|counts| counts.of(&slice.service).unavailable_ms += waited);
     }
-    log::info!(event = "ownership", happening:? = happening; "ownership changed or was refused");
+    log::info!(event = "ownership", happening:? = happening; "ownership changed, or a change was refused");
     parts.view.explanations.record(Explanation {
         at: parts.boundaries.clock.wall(),
         happening,
--- a/crates/node/src/control/server_tracker.rs
+++ b/crates/node/src/control/server_tracker.rs
@@ -1,24 +1,25 @@
-//! Watching over the backend server beside the node.
+//! Detects when the backend server beside the node stops announcing itself.
 
 use std::time::Duration;
 
 use quetzalrack_core::cluster::Announcement;
 use quetzalrack_core::time::Moment;
 
-/// How long a backend server may be silent, three of its announcements, before it counts as lost.
-const SILENCE: Duration = Duration::from_millis(1_500);
+/// Time without an announcement after which a backend server counts as lost: three announcement
+/// intervals.
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Remembers when the backend server was heard last.
+/// Tracks the last announcement of the backend server.
 #[derive(Debug, Default)]
 pub(super) struct ServerTracker {
-    heard: Option<Moment>,
+    last_received: Option<Moment>,
     current: Option<Announcement>,
 }
 
 impl ServerTracker {
-    /// Takes an announcement and tells whether it says anything new.
-    pub(super) fn hear(&mut self, now: Moment, announcement: &Announcement) -> bool {
-        self.heard = Some(now);
+    /// Records an announcement and returns whether it differs from the one before.
+    pub(super) fn record_announcement(&mut self, now: Moment, announcement: &Announcement) -> bool {
+        self.last_received = Some(now);
         if self.current.as_ref() == Some(announcement) {
             return false;
         }
@@ -26,13 +27,15 @@
         true
     }
 
-    /// Tells, once, that the backend server has become silent.
+    /// Returns true once when the backend server counts as lost, and forgets it.
     pub(super) fn take_lost(&mut self, now: Moment) -> bool {
-        let is_silent = self.heard.is_some_and(|heard| now.since(heard) > SILENCE);
-        if is_silent {
-            self.heard = None;
+        let is_lost = self
+            .last_received
+            .is_some_and(|received| now.since(received) > ANNOUNCEMENT_TIMEOUT);
+        if is_lost {
+            self.last_received = None;
             self.current = None;
         }
-        is_silent
+        is_lost
     }
 }
--- a/crates/node/src/control/slice_counts.rs
+++ b/crates/node/src/control/slice_counts.rs
@@ -1,18 +1,18 @@
-//! Counts of changes of ownership at one node.
+//! Counts of ownership changes at one node.
 
 use std::collections::BTreeMap;
 
 use quetzalrack_core::burn::SliceSample;
 use quetzalrack_core::ids::ServiceName;
 
-/// Counts by service what happened to slices at this node since it started.
+/// Counts of ownership changes by service since the node started.
 #[derive(Clone, Debug, Default)]
 pub struct SliceCounts {
     services: BTreeMap<ServiceName, SliceSample>,
 }
 
 impl SliceCounts {
-    /// Returns the counts of one service, for counting on.
+    /// Returns the counts of one service for updating.
     pub fn of(&mut self, service: &ServiceName) -> &mut SliceSample {
         self.services
             .entry(service.clone())
