--- a/crates/node/src/calls/call_client.rs
+++ b/crates/node/src/calls/call_client.rs
@@ -1,4 +1,4 @@
-//! The calling side.
+//! The client of calls between nodes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,7 +21,8 @@
 use crate::shared::Handover;
 use crate::shared::HandoverLink;
 
-/// How long one call may take; a lost handover makes the successor start empty after this.
+/// Timeout of one call. After a handover that was lost, the successor starts with empty state once
+/// this has passed.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Calls other nodes; cheap to clone.
@@ -31,21 +32,21 @@
 }
 
 impl CallClient {
-    /// Signs every call with the keys in force at that time.
+    /// Creates a client that signs every call with the keys then in force.
     pub fn new(keys: Arc<KeyStore>) -> Self {
         Self { keys }
     }
 
-    /// Asks another node for newer intent; none when it has nothing newer.
+    /// Queries another node for newer intent; returns none when it has nothing newer.
     pub async fn intent_snapshot(
         &self,
         to: SocketAddr,
-        question: &IntentQuery,
+        query: &IntentQuery,
     ) -> Result<Option<IntentSnapshot>, PeerCallError> {
-        self.call(to, calls::INTENT_SNAPSHOT, question).await
+        self.call(to, calls::INTENT_SNAPSHOT, query).await
     }
 
-    /// Asks another node who it is.
+    /// Queries the identity and addresses of another node.
     pub async fn member(&self, to: SocketAddr) -> Result<Member, PeerCallError> {
         self.call(to, calls::MEMBER, &()).await
     }
--- a/crates/node/src/calls/call_server.rs
+++ b/crates/node/src/calls/call_server.rs
@@ -1,4 +1,4 @@
-//! The answering side.
+//! The server of calls between nodes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -28,36 +28,36 @@
 use crate::shared::SharedView;
 use crate::shared::TrafficControl;
 
-/// The code of an answer to a call that can't be taken.
-const REFUSED: i32 = -32_001;
-/// How many other nodes may be connected at once.
-const MOST_CONNECTIONS: u32 = 256;
+/// The JSON-RPC error code of a rejected call.
+const REJECTED_CODE: i32 = -32_001;
+/// Maximum number of concurrent connections from other nodes.
+const MAX_CONNECTIONS: u32 = 256;
 
-/// Answers other nodes' calls.
+/// Handles calls from other nodes.
 pub struct CallServer {
     /// The environment.
     pub environment: EnvironmentName,
-    /// The followed stage.
+    /// The stage whose intent the node follows.
     pub stage: Stage,
-    /// The keys that callers must have.
+    /// The keys with which calls must be signed.
     pub keys: Arc<KeyStore>,
-    /// What is in force here.
+    /// The node's shared state, for the version of the intent in force.
     pub view: Arc<SharedView>,
-    /// The snapshot that matches it.
+    /// The snapshot of that version.
     pub snapshot: Arc<ArcSwapOption<IntentSnapshot>>,
-    /// Where handovers go.
+    /// Receives the handovers.
     pub traffic: Arc<dyn TrafficControl>,
-    /// Who this node is, once every address is bound.
+    /// This node's identity and addresses; set once every address is bound.
     pub member: Arc<OnceLock<Member>>,
 }
 
 impl CallServer {
-    /// Binds `address` and answers on the current tokio runtime.
+    /// Binds `address` and serves on the current tokio runtime.
     pub async fn bind(self, address: SocketAddr) -> io::Result<RunningCalls> {
         let config = ServerConfig::builder()
             .max_request_body_size(calls::LARGEST_CALL)
             .max_response_body_size(calls::LARGEST_CALL)
-            .max_connections(MOST_CONNECTIONS)
+            .max_connections(MAX_CONNECTIONS)
             .http_only()
             .build();
         let server = Server::builder().set_config(config).build(address).await?;
@@ -72,8 +72,8 @@
     fn into_module(self) -> Result<RpcModule<Self>, RegisterMethodError> {
         let mut module = RpcModule::new(self);
         module.register_method(calls::INTENT_SNAPSHOT, |params, server, _| {
-            server.answer(calls::INTENT_SNAPSHOT, &params, |question| {
-                server.newer_intent(&question)
+            server.answer(calls::INTENT_SNAPSHOT, &params, |query| {
+                server.newer_intent(&query)
             })
         })?;
         module.register_method(calls::MEMBER, |params, server, _| {
@@ -88,13 +88,13 @@
         Ok(module)
     }
 
-    fn newer_intent(&self, question: &IntentQuery) -> Option<IntentSnapshot> {
-        if question.environment != self.environment || question.stage != self.stage {
+    fn newer_intent(&self, query: &IntentQuery) -> Option<IntentSnapshot> {
+        if query.environment != self.environment || query.stage != self.stage {
             return None;
         }
         let in_force = self.view.intent.load();
         let version = in_force.as_ref().map(|intent| intent.version)?;
-        if version <= question.version {
+        if version <= query.version {
             return None;
         }
         self.snapshot.load().as_deref().cloned()
@@ -104,7 +104,7 @@
         &self,
         method: &str,
         params: &Params<'_>,
-        decide: F,
+        handle: F,
     ) -> Result<SealedCall, ErrorObjectOwned>
     where
         Q: DeserializeOwned,
@@ -113,14 +113,12 @@
     {
         let keys = self.keys.nodes();
         let sealed: SealedCall = params.one()?;
-        let question = sealed.open(method, &keys).map_err(refuse)?;
-        sealed
-            .answer(method, &decide(question), &keys)
-            .map_err(refuse)
+        let query = sealed.open(method, &keys).map_err(reject)?;
+        sealed.answer(method, &handle(query), &keys).map_err(reject)
     }
 }
 
-fn refuse(error: calls::CallError) -> ErrorObjectOwned {
+fn reject(error: calls::CallError) -> ErrorObjectOwned {
     log::debug!(event = "call_refused"; "{error}");
-    ErrorObjectOwned::owned(REFUSED, error.to_string(), None::<()>)
+    ErrorObjectOwned::owned(REJECTED_CODE, error.to_string(), None::<()>)
 }
--- a/crates/node/src/calls/intent_query.rs
+++ b/crates/node/src/calls/intent_query.rs
@@ -1,4 +1,4 @@
-//! The question for newer intent.
+//! A query for newer intent.
 
 use quetzalrack_core::ids::EnvironmentName;
 use quetzalrack_core::ids::Version;
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Asks for a snapshot of the intent when the asked node has a higher version than the asker.
+/// Requests a snapshot of the intent if the receiver's version is higher than the sender's.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -15,6 +15,6 @@
     pub environment: EnvironmentName,
     /// The stage whose versions are compared.
     pub stage: Stage,
-    /// The asker's version.
+    /// The sender's version.
     pub version: Version,
 }
--- a/crates/node/src/calls/mod.rs
+++ b/crates/node/src/calls/mod.rs
@@ -1,5 +1,5 @@
-//! The rare calls between nodes: intent for a node that can't read the log, and the memory of a
-//! slice that moves.
+//! Calls between nodes: intent for a node that can't read the log, a node's identity, and the
+//! idempotency state of a slice that moves.
 
 mod call_client;
 mod call_server;
--- a/crates/node/src/calls/running_calls.rs
+++ b/crates/node/src/calls/running_calls.rs
@@ -4,16 +4,16 @@
 
 use jsonrpsee::server::ServerHandle;
 
-/// Is a bound call server; it answers until this handle is dropped.
+/// A bound call server; it serves until this handle is dropped.
 pub struct RunningCalls {
-    /// Where it listens.
+    /// The bound address.
     pub address: SocketAddr,
     pub(super) handle: ServerHandle,
 }
 
 impl Drop for RunningCalls {
     fn drop(&mut self) {
-        // An error only says that the server has ended already.
+        // An error only means that the server has already stopped.
         let _ = self.handle.stop();
     }
 }
