--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,8 @@
-//! The process beside each backend server: ingress, egress, lease holder and, when chosen,
-//! controller of its cell.
+//! The node: a process beside each backend server that proxies requests to and from it, holds
+//! leases for its slices and, when elected, is the controller of its cluster.
 //!
 //! One thread runs the control state machines, other threads carry traffic; they share only the
-//! immutable views in [`shared`]. See `docs/ARCHITECTURE.md`.
+//! state in [`shared`]. See `docs/ARCHITECTURE.md`.
 
 pub mod admin;
 pub mod calls;
--- a/crates/node/src/shared/explanations.rs
+++ b/crates/node/src/shared/explanations.rs
@@ -1,4 +1,4 @@
-//! A node's bounded memory of what it did and why.
+//! A bounded log of what the node did and why.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -6,37 +6,37 @@
 
 use quetzalrack_core::explain::Explanation;
 
-/// Bounds the memory; the oldest entries make room for new ones.
-const CAPACITY: usize = 1024;
+/// Maximum number of entries; the oldest one is dropped for a new one.
+const MAX_ENTRIES: usize = 1024;
 
-/// Keeps the newest explanations of control and traffic threads alike.
+/// Keeps the newest explanations of the control and traffic threads.
 ///
 /// The lock is held for one push or one copy, never across I/O.
 #[derive(Debug, Default)]
 pub struct Explanations {
-    ring: Mutex<VecDeque<Explanation>>,
+    entries: Mutex<VecDeque<Explanation>>,
 }
 
 impl Explanations {
-    /// Keeps an explanation, dropping the oldest when the memory is full.
+    /// Adds an explanation, dropping the oldest one when the capacity is reached.
     pub fn record(&self, explanation: Explanation) {
-        let mut ring = self.ring.lock().unwrap_or_else(PoisonError::into_inner);
-        if ring.len() == CAPACITY {
-            ring.pop_front();
+        let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
+        if entries.len() == MAX_ENTRIES {
+            entries.pop_front();
         }
-        ring.push_back(explanation);
+        entries.push_back(explanation);
     }
 
-    /// Copies the newest `limit` entries that `wanted` accepts, oldest first.
-    pub fn newest<F>(&self, limit: usize, wanted: F) -> Vec<Explanation>
+    /// Returns copies of the newest `limit` entries that `matches` accepts, oldest first.
+    pub fn newest<F>(&self, limit: usize, matches: F) -> Vec<Explanation>
     where
         F: Fn(&Explanation) -> bool,
     {
-        let ring = self.ring.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut found: Vec<_> = ring
+        let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut found: Vec<_> = entries
             .iter()
             .rev()
-            .filter(|entry| wanted(entry))
+            .filter(|entry| matches(entry))
             .take(limit)
             .cloned()
             .collect();
--- a/crates/node/src/shared/mod.rs
+++ b/crates/node/src/shared/mod.rs
@@ -1,4 +1,4 @@
-//! What the control thread and the traffic threads share.
+//! State and interfaces shared by the control thread and the traffic threads.
 
 mod explanations;
 mod handover;
--- a/crates/node/src/shared/shared_view.rs
+++ b/crates/node/src/shared/shared_view.rs
@@ -1,4 +1,4 @@
-//! The views that traffic threads read without a lock.
+//! State that traffic threads read without a lock.
 
 use std::sync::atomic::AtomicBool;
 
@@ -11,23 +11,23 @@
 
 use super::Explanations;
 
-/// Holds the newest immutable views; the control thread replaces them whole, traffic threads read
-/// them without waiting.
+/// The newest routing table, leases and intent. The control thread replaces each as a whole, and
+/// traffic threads read them without waiting.
 #[derive(Debug, Default)]
 pub struct SharedView {
-    /// Where requests go.
+    /// The routing table, which determines where requests are sent.
     pub routing: ArcSwap<RoutingTable>,
-    /// The leases this node holds.
+    /// The leases that this node holds.
     pub leases: ArcSwap<LeaseTable>,
-    /// The intent in force, once known.
+    /// The intent in force; none until it is known.
     pub intent: ArcSwapOption<InForce>,
-    /// What the backend server beside this node last announced; none while it is silent.
+    /// The last announcement of the backend server beside this node; none while it counts as lost.
     pub announcement: ArcSwapOption<Announcement>,
-    /// Whether this node is leaving; set once by the first shutdown signal.
+    /// Whether this node is shutting down; set by the first shutdown signal and never reset.
     pub shutting_down: AtomicBool,
-    /// What this node did and why, the newest entries.
+    /// The newest explanations of what this node did and why.
     pub explanations: Explanations,
-    /// Why requests were refused, the newest entries; kept apart, because an overload would push
-    /// everything else out of a shared memory.
+    /// The newest explanations of refused requests; separate, because during an overload they would
+    /// displace all other explanations.
     pub refusals: Explanations,
 }
--- a/crates/node/src/shared/traffic_control.rs
+++ b/crates/node/src/shared/traffic_control.rs
@@ -1,4 +1,4 @@
-//! What the control thread asks of the traffic threads.
+//! The traffic threads' interface for the control thread.
 
 use quetzalrack_core::boundary::BoxFuture;
 use quetzalrack_core::burn::RouteSample;
@@ -10,14 +10,15 @@
 
 use super::Handover;
 
-/// Is the traffic threads' side of a change of ownership.
+/// Applies changes of ownership at the traffic threads and provides their statistics.
 pub trait TrafficControl: Send + Sync {
-    /// Prepares a slice before its lease is published: adopts the memory handed over under
-    /// `previous`, or starts an empty one that remembers nothing older than now.
+    /// Prepares a slice before its lease is published: adopts the idempotency state handed over
+    /// under `previous`, or starts with empty state that covers nothing older than now.
     fn prepare_slice(&self, slice: &SliceId, fence: Fence, previous: Option<Fence>);
 
-    /// Stops admitting for a slice, waits until nothing of it is in flight, and hands its memory
-    /// to the successor. Resolves also when the handover fails: the successor then starts empty.
+    /// Stops admitting requests for a slice, waits until none is in flight, and hands its
+    /// idempotency state to the successor. Resolves also when the handover fails; the successor
+    /// then starts with empty state.
     fn drain_slice<'a>(
         &'a self,
         slice: &'a SliceId,
@@ -25,21 +26,22 @@
         successor: Option<&'a Member>,
     ) -> BoxFuture<'a, ()>;
 
-    /// Forgets a slice whose lease ended without a handover.
+    /// Discards the state of a slice whose lease ended without a handover.
     fn forget_slice(&self, slice: &SliceId, fence: Fence);
 
-    /// Keeps a memory that another node handed over until the matching grant arrives.
+    /// Keeps the state that another node handed over until the matching grant arrives.
     fn receive_handover(&self, handover: Handover);
 
-    /// Returns the current counts.
+    /// Returns the current statistics.
     fn stats(&self) -> TrafficStats;
 
-    /// Returns what callers got at this node since it started, by route.
+    /// Returns the outcomes of requests that callers sent to this node since it started, by route.
     fn route_samples(&self) -> Vec<RouteSample>;
 
-    /// Returns what this node sent to the backend server beside it since it started.
+    /// Returns the counts of requests sent to the backend server beside this node since the node
+    /// started.
     fn work_samples(&self) -> Vec<WorkSample>;
 
-    /// Stops accepting and resolves when every request is answered.
+    /// Stops accepting requests and resolves when every accepted one is answered.
     fn finish(&self) -> BoxFuture<'_, ()>;
 }
