--- a/crates/node/src/platform/backend_http.rs
+++ b/crates/node/src/platform/backend_http.rs
@@ -1,4 +1,4 @@
-//! Grants to the backend server beside the node, over HTTP.
+//! Sends grants to the backend server beside the node over HTTP.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,23 +14,24 @@
 use super::HttpClientError;
 use crate::shared::SharedView;
 
-/// How long a grant may take; much less than a lease, and the control state asks again.
+/// Timeout of sending a grant. It is much shorter than a lease, and the ownership state machine
+/// retries the grant.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Passes grants to the backend server that announced itself last.
+/// Sends grants to the backend server that announced itself last.
 pub struct BackendHttp {
     http: reqwest::Client,
     view: Arc<SharedView>,
 }
 
-/// Is the body of a refusal.
+/// The body of a response that rejects a grant because the backend server knows a newer fence.
 #[derive(Deserialize)]
-struct NewerFence {
+struct RejectedGrant {
     fence: Fence,
 }
 
 impl BackendHttp {
-    /// Opens the way to whichever backend server announces itself.
+    /// Creates a client for the backend server whose announcement `view` holds.
     pub fn open(view: Arc<SharedView>) -> Result<Self, HttpClientError> {
         let http = reqwest::Client::builder()
             .timeout(GRANT_TIMEOUT)
@@ -39,18 +40,18 @@
         Ok(Self { http, view })
     }
 
-    async fn pass(&self, order: &GrantOrder) -> GrantOutcome {
+    async fn send_grant(&self, order: &GrantOrder) -> GrantOutcome {
         let Some(server) = self.view.announcement.load_full() else {
             return GrantOutcome::Unreachable;
         };
         let url = format!("http://{}/control/grants", server.address);
-        let Ok(answer) = self.http.post(url).json(order).send().await else {
+        let Ok(response) = self.http.post(url).json(order).send().await else {
             return GrantOutcome::Unreachable;
         };
-        match answer.status() {
+        match response.status() {
             StatusCode::OK => GrantOutcome::Taken,
-            StatusCode::CONFLICT => match answer.json::<NewerFence>().await {
-                Ok(newer) => GrantOutcome::Outdated(newer.fence),
+            StatusCode::CONFLICT => match response.json::<RejectedGrant>().await {
+                Ok(rejected) => GrantOutcome::Outdated(rejected.fence),
                 Err(_) => GrantOutcome::Unreachable,
             },
             _ => GrantOutcome::Unreachable,
@@ -60,6 +61,6 @@
 
 impl BackendControl for BackendHttp {
     fn grant<'a>(&'a self, order: &'a GrantOrder) -> BoxFuture<'a, GrantOutcome> {
-        Box::pin(self.pass(order))
+        Box::pin(self.send_grant(order))
     }
 }
--- a/crates/node/src/platform/boot_clock.rs
+++ b/crates/node/src/platform/boot_clock.rs
@@ -1,4 +1,4 @@
-//! The host's own clocks.
+//! The host's clocks.
 
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
@@ -9,10 +9,10 @@
 use rustix::time::ClockId;
 use rustix::time::clock_gettime;
 
-/// Reads the boot-time clock, which counts the time that the host was suspended.
+/// Reads the boot-time clock, which includes the time for which the host was suspended.
 ///
-/// The monotonic clock of the standard library stands still while a host is suspended: a thawed
-/// holder would then take its long lapsed lease for a valid one.
+/// The monotonic clock of the standard library stops while a host is suspended, so that a holder
+/// would treat a lease that lapsed during a suspension as valid.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BootClock;
 
--- a/crates/node/src/platform/boundaries.rs
+++ b/crates/node/src/platform/boundaries.rs
@@ -1,4 +1,4 @@
-//! Everything outside one node, as one value.
+//! A node's external dependencies.
 
 use std::sync::Arc;
 
@@ -17,10 +17,10 @@
 use crate::settings::NodeSettings;
 use crate::shared::SharedView;
 
-/// Holds a node's far sides; a test or a bench replaces those that it wants to play itself.
+/// A node's external dependencies; tests and benchmarks replace some of them by their own.
 #[derive(Clone)]
 pub struct Boundaries {
-    /// The platform's log.
+    /// The platform's log service.
     pub log: Arc<dyn LogService>,
     /// The host's clocks.
     pub clock: Arc<dyn Clock>,
@@ -28,12 +28,12 @@
     pub peers: Arc<dyn PeerNetwork>,
     /// The backend server beside the node.
     pub backend: Arc<dyn BackendControl>,
-    /// What the log service costs.
+    /// Counts the bytes exchanged with the log service.
     pub log_counters: Arc<LogCounters>,
 }
 
 impl Boundaries {
-    /// Opens the real far sides that the settings name.
+    /// Opens the dependencies of a deployed node.
     pub fn open(
         settings: &NodeSettings,
         keys: Arc<KeyStore>,
--- a/crates/node/src/platform/datagram_link.rs
+++ b/crates/node/src/platform/datagram_link.rs
@@ -1,4 +1,4 @@
-//! The sending side of UDP.
+//! Sending datagrams over UDP.
 
 use std::net::SocketAddr;
 use std::net::UdpSocket;
@@ -11,7 +11,7 @@
 use super::KeyStore;
 use super::LinkCounters;
 
-/// Sends signed datagrams without waiting.
+/// Sends signed datagrams; those that can't be sent at once are dropped.
 #[derive(Debug)]
 pub(super) struct DatagramLink {
     pub(super) socket: UdpSocket,
@@ -28,8 +28,8 @@
                 return;
             }
         };
-        // A full socket buffer or an unreachable peer is a lost datagram, which the protocol
-        // bears; waiting here would delay every other heartbeat.
+        // The datagram is lost if the socket buffer is full or the peer is unreachable. The
+        // protocol tolerates that, while waiting here would delay all other heartbeats.
         match self.socket.send_to(&sealed, to) {
             Ok(size) => self.counters.count_sent(size),
             Err(error) => log::debug!(event = "datagram_lost", to:% = to; "{error}"),
--- a/crates/node/src/platform/datagram_network.rs
+++ b/crates/node/src/platform/datagram_network.rs
@@ -1,4 +1,4 @@
-//! UDP between nodes.
+//! Datagrams between nodes over UDP.
 
 use std::io;
 use std::io::ErrorKind;
@@ -20,19 +20,19 @@
 use super::PeerNetwork;
 use super::datagram_link::DatagramLink;
 
-/// How long a send may wait for room in the socket's buffer before the datagram counts as lost.
+/// How long a send may wait for space in the socket's buffer before the datagram counts as lost.
 const SEND_TIMEOUT: Duration = Duration::from_millis(1);
-/// How often a silent receiver looks whether it is still wanted.
-const STOP_CHECK: Duration = Duration::from_millis(500);
+/// How often an idle receiver checks whether the sending side was dropped.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Is the network of plain UDP datagrams, signed by the nodes' keys.
+/// Exchanges UDP datagrams signed with the nodes' keys.
 #[derive(Debug)]
 pub struct DatagramNetwork {
     keys: Arc<KeyStore>,
 }
 
 impl DatagramNetwork {
-    /// Uses the keys in force at each datagram.
+    /// Creates a network that signs and checks each datagram with the keys then in force.
     pub fn new(keys: Arc<KeyStore>) -> Self {
         Self { keys }
     }
@@ -42,7 +42,7 @@
     fn open(&self, address: SocketAddr, inbox: Arc<dyn PeerInbox>) -> io::Result<OpenLink> {
         let socket = UdpSocket::bind(address)?;
         socket.set_write_timeout(Some(SEND_TIMEOUT))?;
-        socket.set_read_timeout(Some(STOP_CHECK))?;
+        socket.set_read_timeout(Some(STOP_CHECK_INTERVAL))?;
         let address = socket.local_addr()?;
         let counters = Arc::new(LinkCounters::default());
         let link = Arc::new(DatagramLink {
@@ -68,14 +68,14 @@
     }
 }
 
-/// Receives on a thread of its own, so that a long answer to an operator never delays the
-/// heartbeats on which leases depend.
+/// Receives on a separate thread, so that a long response to an operator never delays the heartbeats
+/// on which leases depend.
 struct Receiver {
     socket: UdpSocket,
     keys: Arc<KeyStore>,
     counters: Arc<LinkCounters>,
     inbox: Arc<dyn PeerInbox>,
-    /// The sending side; once it is gone, nobody wants what is received.
+    /// The sending side; receiving stops once it is dropped.
     sender: Weak<DatagramLink>,
 }
 
@@ -84,16 +84,16 @@
         let mut buffer = vec![0; LARGEST_DATAGRAM];
         while self.sender.strong_count() > 0 {
             match self.socket.recv_from(&mut buffer) {
-                Ok((size, from)) => self.take(&buffer[..size], from),
+                Ok((size, from)) => self.handle_datagram(&buffer[..size], from),
                 Err(error) if is_timeout(&error) => {}
-                // An ICMP answer to an earlier send shows up here; the socket stays usable.
+                // An ICMP error for an earlier send is reported here; the socket stays usable.
                 Err(error) => log::debug!(event = "datagram_receive_failed"; "{error}"),
             }
-            self.counters.receiver.note();
+            self.counters.receiver.record();
         }
     }
 
-    fn take(&self, sealed: &[u8], from: SocketAddr) {
+    fn handle_datagram(&self, sealed: &[u8], from: SocketAddr) {
         self.counters.count_received(sealed.len());
         match open_datagram::<PeerMessage>(sealed, &self.keys.nodes()) {
             Ok(message) => {
--- a/crates/node/src/platform/http_client_error.rs
+++ b/crates/node/src/platform/http_client_error.rs
@@ -1,7 +1,7 @@
-//! Why a way to a far side can't be opened.
+//! Why an HTTP client can't be created.
 
-/// Says why a way to a far side can't be opened.
+/// Why the HTTP client of the log service or the backend server can't be created.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
-#[error("an HTTP connector can't be made")]
+#[error("an HTTP client can't be created")]
 pub struct HttpClientError(#[from] reqwest::Error);
--- a/crates/node/src/platform/http_log.rs
+++ b/crates/node/src/platform/http_log.rs
@@ -1,4 +1,4 @@
-//! The platform's log service over HTTP.
+//! Client of the platform's log service over HTTP.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -21,18 +21,18 @@
 use super::HttpClientError;
 use super::LogCounters;
 
-/// How long a connection may take to open.
+/// Timeout of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long an append may take; after that its outcome counts as unknown.
+/// Timeout of an append; when it expires, the outcome is unknown.
 const APPEND_TIMEOUT: Duration = Duration::from_secs(2);
-/// How much longer than its long poll a read may take.
+/// How much longer than its wait for records a read may take.
 const READ_GRACE: Duration = Duration::from_secs(1);
-/// How many records one read asks for.
+/// Maximum number of records requested by one read.
 const READ_LIMIT: u32 = 256;
-/// Bounds an answer, in bytes; a longer one counts as none.
-const LARGEST_ANSWER: usize = 64 * 1024 * 1024;
+/// Maximum size of a response body in bytes; a larger one is treated as a failed request.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Reaches the log service by its address.
+/// Client of the log service.
 pub struct HttpLog {
     http: reqwest::Client,
     base: String,
@@ -66,7 +66,7 @@
 }
 
 impl HttpLog {
-    /// Opens a way to the log service at `base`, `http://IP:PORT`.
+    /// Creates a client of the log service at `base`, `http://IP:PORT`.
     pub fn open(base: &str, counters: Arc<LogCounters>) -> Result<Self, HttpClientError> {
         let http = reqwest::Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
@@ -79,7 +79,7 @@
         })
     }
 
-    fn records_of(&self, stream: &Stream) -> String {
+    fn records_url(&self, stream: &Stream) -> String {
         format!("{}/streams/{stream}/records", self.base)
     }
 
@@ -88,26 +88,26 @@
         self.counters.bytes_out.fetch_add(size, Ordering::Relaxed);
         let sent = self
             .http
-            .post(self.records_of(stream))
+            .post(self.records_url(stream))
             .header("content-type", "application/json")
             .timeout(APPEND_TIMEOUT)
             .body(data)
             .send()
             .await;
         match sent {
-            Ok(answer) => self.judge_append(answer).await,
-            // Only a connection that never opened proves that nothing was sent.
+            Ok(response) => self.append_outcome(response).await,
+            // Only a connection that failed to open proves that nothing was sent.
             Err(error) if error.is_connect() => AppendOutcome::Refused,
             Err(_) => AppendOutcome::Unknown,
         }
     }
 
-    async fn judge_append(&self, answer: Response) -> AppendOutcome {
-        match answer.status() {
+    async fn append_outcome(&self, response: Response) -> AppendOutcome {
+        match response.status() {
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
                 AppendOutcome::Refused
             }
-            StatusCode::OK => match self.decode::<Appended>(answer).await {
+            StatusCode::OK => match self.decode::<Appended>(response).await {
                 Some(appended) => AppendOutcome::Appended(appended.offset),
                 None => AppendOutcome::Unknown,
             },
@@ -118,16 +118,16 @@
     async fn read_records(&self, stream: &Stream, from: Offset, wait: Duration) -> ReadOutcome {
         let url = format!(
             "{}?from={from}&limit={READ_LIMIT}&wait_ms={}",
-            self.records_of(stream),
+            self.records_url(stream),
             wait.as_millis()
         );
         let sent = self.http.get(url).timeout(wait + READ_GRACE).send().await;
-        let Ok(answer) = sent else {
+        let Ok(response) = sent else {
             return ReadOutcome::Unavailable;
         };
-        match answer.status() {
-            StatusCode::OK => self.decode_page(answer).await,
-            StatusCode::GONE => match self.decode::<Expired>(answer).await {
+        match response.status() {
+            StatusCode::OK => self.decode_page(response).await,
+            StatusCode::GONE => match self.decode::<Expired>(response).await {
                 Some(expired) => ReadOutcome::Expired(expired.oldest),
                 None => ReadOutcome::Unavailable,
             },
@@ -135,8 +135,8 @@
         }
     }
 
-    async fn decode_page(&self, answer: Response) -> ReadOutcome {
-        let Some(bytes) = self.whole_body(answer).await else {
+    async fn decode_page(&self, response: Response) -> ReadOutcome {
+        let Some(bytes) = self.read_body(response).await else {
             return ReadOutcome::Unavailable;
         };
         let Ok(page) = serde_json::from_slice::<Page<'_>>(&bytes) else {
@@ -154,18 +154,18 @@
         }
     }
 
-    async fn decode<T>(&self, answer: Response) -> Option<T>
+    async fn decode<T>(&self, response: Response) -> Option<T>
     where
         T: DeserializeOwned,
     {
-        let bytes = self.whole_body(answer).await?;
+        let bytes = self.read_body(response).await?;
         serde_json::from_slice(&bytes).ok()
     }
 
-    async fn whole_body(&self, mut answer: Response) -> Option<Vec<u8>> {
+    async fn read_body(&self, mut response: Response) -> Option<Vec<u8>> {
         let mut body = Vec::new();
-        while let Some(chunk) = answer.chunk().await.ok()? {
-            if body.len() + chunk.len() > LARGEST_ANSWER {
+        while let Some(chunk) = response.chunk().await.ok()? {
+            if body.len() + chunk.len() > MAX_RESPONSE_BYTES {
                 return None;
             }
             body.extend_from_slice(&chunk);
--- a/crates/node/src/platform/key_store.rs
+++ b/crates/node/src/platform/key_store.rs
@@ -1,4 +1,4 @@
-//! The keys in force, which change without a restart.
+//! The keys in force, which can be replaced without a restart.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,15 +9,15 @@
 
 use crate::settings::NodeSettings;
 
-/// Holds the rings that every part of the node reads at each use, so that a replaced key is in
-/// force everywhere at once.
+/// Holds the key rings. All parts of the node read them at each use, so that replaced keys take
+/// effect everywhere at once.
 pub struct KeyStore {
     nodes: ArcSwap<KeyRing>,
     operators: ArcSwap<KeyRing>,
 }
 
 impl KeyStore {
-    /// Opens the rings that the settings name.
+    /// Opens the key rings of the settings.
     pub fn open(settings: &NodeSettings) -> Result<Self, KeyError> {
         Ok(Self {
             nodes: ArcSwap::from_pointee(KeyRing::open(&settings.node_keys)?),
@@ -25,7 +25,7 @@
         })
     }
 
-    /// Puts the rings of newer settings in force, both or neither.
+    /// Replaces both key rings by those of newer settings, or neither if one is invalid.
     pub fn replace(&self, settings: &NodeSettings) -> Result<(), KeyError> {
         let nodes = KeyRing::open(&settings.node_keys)?;
         let operators = KeyRing::open(&settings.operator_keys)?;
@@ -34,19 +34,19 @@
         Ok(())
     }
 
-    /// Returns the keys by which nodes know each other.
+    /// Returns the keys by which nodes authenticate each other.
     pub fn nodes(&self) -> Arc<KeyRing> {
         self.nodes.load_full()
     }
 
-    /// Returns the keys by which operators are known.
+    /// Returns the keys by which operators are authenticated.
     pub fn operators(&self) -> Arc<KeyRing> {
         self.operators.load_full()
     }
 }
 
 impl fmt::Debug for KeyStore {
-    /// Shows the ids alone.
+    /// Shows only the ids of the keys.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("KeyStore")
             .field("nodes", &self.nodes)
--- a/crates/node/src/platform/link_counters.rs
+++ b/crates/node/src/platform/link_counters.rs
@@ -1,4 +1,4 @@
-//! What the datagrams between nodes cost.
+//! Traffic counters of the datagrams between nodes.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -16,7 +16,7 @@
     pub sent: AtomicU64,
     /// Datagrams received.
     pub received: AtomicU64,
-    /// Datagrams dropped for a bad version, signature, body or for a full inbox.
+    /// Received datagrams dropped because of a bad version, signature or body, or a full inbox.
     pub refused: AtomicU64,
     /// The processor time of the receiving thread.
     pub receiver: ThreadMeter,
@@ -35,7 +35,7 @@
         self.bytes_in.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Counts one dropped datagram.
+    /// Counts one received datagram that was dropped.
     pub fn count_refused(&self) {
         self.refused.fetch_add(1, Ordering::Relaxed);
     }
--- a/crates/node/src/platform/mod.rs
+++ b/crates/node/src/platform/mod.rs
@@ -1,4 +1,5 @@
-//! The real far sides of the decisions: clocks, log service, other nodes, backend server.
+//! Implementations of core's boundary traits: clocks, log service, network between nodes and backend
+//! server.
 
 mod backend_http;
 mod boot_clock;
--- a/crates/node/src/platform/open_link.rs
+++ b/crates/node/src/platform/open_link.rs
@@ -1,4 +1,4 @@
-//! An open way to the other nodes.
+//! An open link to the other nodes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,13 +7,13 @@
 
 use super::LinkCounters;
 
-/// Is a bound heartbeat address with its sending side; receiving ends
-/// with the last of them.
+/// A bound heartbeat address with its sending side. Receiving stops once the last reference to
+/// `link` is dropped.
 pub struct OpenLink {
-    /// Where other nodes reach this one.
+    /// The bound address.
     pub address: SocketAddr,
-    /// Sends to other nodes.
+    /// Sends datagrams to other nodes.
     pub link: Arc<dyn PeerLink>,
-    /// What it costs.
+    /// Counts the datagrams.
     pub counters: Arc<LinkCounters>,
 }
--- a/crates/node/src/platform/peer_inbox.rs
+++ b/crates/node/src/platform/peer_inbox.rs
@@ -1,12 +1,12 @@
-//! Where messages of other nodes arrive.
+//! Receives messages of other nodes.
 
 use std::net::SocketAddr;
 
 use quetzalrack_core::ownership::PeerMessage;
 
-/// Takes authenticated messages of other nodes; it drops them when the control thread lags, as
-/// the network might have.
+/// Receives authenticated messages of other nodes. It drops messages, as the network may, while the
+/// control thread lags behind.
 pub trait PeerInbox: Send + Sync {
-    /// Takes one message and tells whether there was room for it.
+    /// Queues one message and returns whether there was space for it.
     fn deliver(&self, from: SocketAddr, message: PeerMessage) -> bool;
 }
--- a/crates/node/src/platform/peer_network.rs
+++ b/crates/node/src/platform/peer_network.rs
@@ -7,8 +7,8 @@
 use super::OpenLink;
 use super::PeerInbox;
 
-/// Binds a node's heartbeat address; a bench may bring a network of its own.
+/// Binds a node's heartbeat address; benchmarks may supply their own network.
 pub trait PeerNetwork: Send + Sync {
-    /// Binds `address` (port zero: any) and delivers what arrives to `inbox`.
+    /// Binds `address` (port zero: any free port) and delivers received messages to `inbox`.
     fn open(&self, address: SocketAddr, inbox: Arc<dyn PeerInbox>) -> io::Result<OpenLink>;
 }
