--- a/crates/node/src/control/control_loop.rs
+++ b/crates/node/src/control/control_loop.rs
@@ -88,7 +88,7 @@
             if now.since(self.last_tick) >= TICK_INTERVAL {
                 self.tick(now);
             }
-            self.parts.meter.note();
+            self.parts.meter.record();
         }
     }
 
--- a/crates/node/src/meters/cost_meter.rs
+++ b/crates/node/src/meters/cost_meter.rs
@@ -1,4 +1,4 @@
-//! The cost of control at one node.
+//! Resource use of the control work at one node.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -14,26 +14,26 @@
 use crate::platform::LinkCounters;
 use crate::platform::LogCounters;
 
-/// Gathers what control costs from the places that count it.
+/// Collects the resource use of the control work from its counters.
 #[derive(Debug)]
 pub struct CostMeter {
     /// When the node started.
     pub started: Moment,
-    /// The thread that decides.
+    /// Processor time of the control thread.
     pub control: Arc<ThreadMeter>,
-    /// The thread that serves operators, other nodes and the log.
+    /// Processor time of the service thread, which handles operators, calls and the log service.
     pub service: Arc<ThreadMeter>,
-    /// The datagrams.
+    /// Counters of the datagrams between nodes.
     pub link: Arc<LinkCounters>,
-    /// The log service.
+    /// Counters of the log service.
     pub log: Arc<LogCounters>,
 }
 
 impl CostMeter {
-    /// Returns everything counted so far.
+    /// Returns the totals since the node started.
     pub fn read(&self, now: Moment) -> CostStatus {
         CostStatus {
-            control_us: self.processor_time().as_micros() as u64,
+            control_us: self.total_time().as_micros() as u64,
             resident: resident_memory(),
             peer_out: bytes(&self.link.bytes_out),
             peer_in: bytes(&self.link.bytes_in),
@@ -46,8 +46,8 @@
         }
     }
 
-    fn processor_time(&self) -> Duration {
-        self.control.used() + self.service.used() + self.link.receiver.used()
+    fn total_time(&self) -> Duration {
+        self.control.cpu_time() + self.service.cpu_time() + self.link.receiver.cpu_time()
     }
 }
 
--- a/crates/node/src/meters/mod.rs
+++ b/crates/node/src/meters/mod.rs
@@ -1,4 +1,4 @@
-//! What the node measures about itself, so that the cost of control is known and bounded.
+//! Measurements of the resource use of the node's control work, so that it is known and bounded.
 
 mod cost_meter;
 mod resident_memory;
--- a/crates/node/src/meters/resident_memory.rs
+++ b/crates/node/src/meters/resident_memory.rs
@@ -1,11 +1,11 @@
-//! The memory of this process.
+//! The resident memory of this process.
 
 use std::fs;
 
 use quetzalrack_core::ids::ByteCount;
 use rustix::param::page_size;
 
-/// Returns the resident memory of this process, or zero where the host does not tell.
+/// Returns the resident memory of this process, or zero where the host doesn't provide it.
 pub(super) fn resident_memory() -> ByteCount {
     let pages = fs::read_to_string("/proc/self/statm")
         .ok()
--- a/crates/node/src/metrics/report_metrics.rs
+++ b/crates/node/src/metrics/report_metrics.rs
@@ -1,4 +1,4 @@
-//! Sending the node's own figures at a steady pace.
+//! Periodic sending of the node's metrics.
 
 use std::net::SocketAddr;
 use std::net::UdpSocket;
@@ -16,28 +16,28 @@
 use crate::shared::SharedView;
 use crate::shared::TrafficControl;
 
-/// How often the figures are sent; they are gauges of running totals, so a lost datagram loses
-/// nothing for good.
-const EVERY: Duration = Duration::from_secs(10);
-/// Begins every metric's name.
+/// Interval between reports. All metrics are gauges of running totals, so the next report makes up
+/// for a lost datagram.
+const REPORT_INTERVAL: Duration = Duration::from_secs(10);
+/// Prefix of every metric's name.
 const PREFIX: &str = "quetzalrack.node";
 
-/// Reads the figures of one node. Without a sink in the settings none of this exists.
+/// Reports the metrics of one node; created only if the settings name a statsd address.
 pub struct Metrics {
-    /// The node, a tag of every metric.
+    /// The node's name, a tag of every metric.
     pub node: NodeName,
     /// The host's clocks.
     pub clock: Arc<dyn Clock>,
-    /// What control costs.
+    /// Resource use of the control work.
     pub cost: Arc<CostMeter>,
-    /// What the threads share.
+    /// The state shared by the node's threads.
     pub view: Arc<SharedView>,
-    /// The traffic threads' counts.
+    /// Provides the traffic threads' counts.
     pub traffic: Arc<dyn TrafficControl>,
 }
 
 impl Metrics {
-    /// Sends the figures to `sink` for ever.
+    /// Sends the metrics to `sink` until the runtime stops.
     pub async fn report_to(self, sink: SocketAddr) {
         let client = match open_statsd(sink, &self.node) {
             Ok(client) => client,
@@ -46,7 +46,7 @@
                 return;
             }
         };
-        let mut interval = tokio::time::interval(EVERY);
+        let mut interval = tokio::time::interval(REPORT_INTERVAL);
         loop {
             interval.tick().await;
             if let Err(error) = self.report(&client) {
@@ -98,11 +98,11 @@
 }
 
 fn open_statsd(sink: SocketAddr, node: &NodeName) -> MetricResult<StatsdClient> {
-    let any = match sink {
+    let local_address = match sink {
         SocketAddr::V4(_) => "0.0.0.0:0",
         SocketAddr::V6(_) => "[::]:0",
     };
-    let socket = UdpSocket::bind(any)?;
+    let socket = UdpSocket::bind(local_address)?;
     socket.set_nonblocking(true)?;
     let sink = BufferedUdpMetricSink::from(sink, socket)?;
     let builder = StatsdClient::builder(PREFIX, sink);
--- a/crates/node/src/node/service_thread.rs
+++ b/crates/node/src/node/service_thread.rs
@@ -86,6 +86,6 @@
     let mut interval = tokio::time::interval(NOTE_EVERY);
     loop {
         interval.tick().await;
-        meter.note();
+        meter.record();
     }
 }
