--- a/crates/node/src/node/bind_parts.rs
+++ b/crates/node/src/node/bind_parts.rs
@@ -1,4 +1,4 @@
-//! Binding and starting the parts of a node in their order.
+//! Binds a node's addresses and starts its threads, in order.
 
 use std::io;
 use std::net::SocketAddr;
@@ -67,7 +67,7 @@
     binding.start(receiver)
 }
 
-/// Holds what is bound so far.
+/// The parts that are bound and started so far.
 struct Binding {
     node: Node,
     inbox: ControlInbox,
@@ -85,8 +85,8 @@
         let calls = self.bind_calls()?;
         let admin = self.bind_admin()?;
         let listening = self.listening(calls.address, admin.address);
-        let member = self.describe(&listening);
-        // Both servers answer "not ready" until this is set, and it is set once.
+        let member = self.build_member(&listening);
+        // The call server and the admin server have no member to return until this is set.
         let _ = self.member.set(member.clone());
         let (released_sender, released) = watch::channel(false);
         let parts = self.control_parts(member.clone(), released_sender);
@@ -120,20 +120,20 @@
         }
     }
 
-    fn describe(&self, listening: &ListeningLine) -> Member {
+    fn build_member(&self, listening: &ListeningLine) -> Member {
         let settings = &self.node.settings;
-        let told = &settings.advertise;
+        let advertise = &settings.advertise;
         Member {
             node: settings.node.clone(),
-            // The calendar clock makes a later life's number higher without keeping anything.
+            // The wall clock gives a later incarnation a higher number without persistent state.
             incarnation: Incarnation(self.node.boundaries.clock.wall().0),
             zone: settings.zone.clone(),
             server: None,
             service: None,
-            traffic: advertised(listening.traffic, told.traffic),
-            heartbeat: advertised(listening.heartbeat, told.heartbeat),
-            control: advertised(listening.control, told.control),
-            admin: advertised(listening.admin, told.admin),
+            traffic: advertised_address(listening.traffic, advertise.traffic),
+            heartbeat: advertised_address(listening.heartbeat, advertise.heartbeat),
+            control: advertised_address(listening.control, advertise.control),
+            admin: advertised_address(listening.admin, advertise.admin),
         }
     }
 
@@ -150,7 +150,7 @@
         };
         let address = SocketAddr::new(settings.address, settings.ports.control);
         let bound = self.service.run(server.bind(address));
-        bind_outcome("the control port", address, bound)
+        map_bind_error("the control port", address, bound)
     }
 
     fn bind_admin(&self) -> Result<RunningAdmin, SpawnError> {
@@ -171,7 +171,7 @@
         };
         let address = SocketAddr::new(settings.address, settings.ports.admin);
         let bound = self.service.run(AdminServer::bind(state, address));
-        bind_outcome("the admin port", address, bound)
+        map_bind_error("the admin port", address, bound)
     }
 
     fn control_parts(&self, member: Member, released: watch::Sender<bool>) -> ControlParts {
@@ -232,7 +232,7 @@
     }
 }
 
-fn advertised(bound: SocketAddr, port: u16) -> SocketAddr {
+fn advertised_address(bound: SocketAddr, port: u16) -> SocketAddr {
     match port {
         0 => bound,
         port => SocketAddr::new(bound.ip(), port),
@@ -243,10 +243,10 @@
     let settings = &node.settings;
     let address = SocketAddr::new(settings.address, settings.ports.heartbeat);
     let opened = node.boundaries.peers.open(address, Arc::new(inbox.clone()));
-    bind_outcome("the heartbeat port", address, Ok(opened))
+    map_bind_error("the heartbeat port", address, Ok(opened))
 }
 
-fn bind_outcome<T>(
+fn map_bind_error<T>(
     part: &'static str,
     address: SocketAddr,
     bound: io::Result<io::Result<T>>,
--- a/crates/node/src/node/bind_traffic.rs
+++ b/crates/node/src/node/bind_traffic.rs
@@ -1,4 +1,4 @@
-//! Opening the traffic port.
+//! Binding the traffic port.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,17 +13,17 @@
 use crate::traffic::Traffic;
 use crate::traffic::TrafficConfig;
 
-/// The most threads that carry traffic unless the settings say otherwise: the host belongs to the
+/// Maximum number of traffic threads unless the settings name one; the other cores are left to the
 /// backend server.
-const MOST_THREADS: usize = 4;
+const MAX_DEFAULT_THREADS: usize = 4;
 
-/// Is the traffic port, open.
+/// The bound traffic port.
 pub(super) struct BoundTraffic {
     pub(super) address: SocketAddr,
     pub(super) control: Arc<dyn TrafficControl>,
 }
 
-/// Opens the traffic port and starts its threads.
+/// Binds the traffic port and starts its threads.
 pub(super) fn bind_traffic(node: &Node) -> Result<BoundTraffic, SpawnError> {
     let settings = &node.settings;
     let config = TrafficConfig {
@@ -31,7 +31,7 @@
         zone: settings.zone.clone(),
         address: settings.address,
         port: settings.ports.traffic,
-        threads: settings.threads.unwrap_or_else(usual_threads),
+        threads: settings.threads.unwrap_or_else(default_threads),
         keys: node.keys.clone(),
         choice: settings.choice,
         hedging: settings
@@ -48,6 +48,6 @@
     })
 }
 
-fn usual_threads() -> usize {
-    thread::available_parallelism().map_or(1, |cores| cores.get().min(MOST_THREADS))
+fn default_threads() -> usize {
+    thread::available_parallelism().map_or(1, |cores| cores.get().min(MAX_DEFAULT_THREADS))
 }
--- a/crates/node/src/node/find_peers.rs
+++ b/crates/node/src/node/find_peers.rs
@@ -1,4 +1,4 @@
-//! Learning the heartbeat addresses of the seeds.
+//! Lookup of the heartbeat addresses of the seeds.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,10 +9,11 @@
 use super::service_thread::ServiceThread;
 use crate::calls::CallClient;
 
-/// How long a start may be held up by seeds that do not answer.
-const PATIENCE: Duration = Duration::from_millis(700);
+/// Maximum delay of a node's start by seeds that don't answer.
+const SEED_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Asks every seed at once where it takes heartbeats; those that do not answer are left out.
+/// Queries all seeds concurrently for their heartbeat addresses; those that don't answer are left
+/// out.
 pub(super) fn find_peers(
     service: &ServiceThread,
     calls: &CallClient,
@@ -23,13 +24,13 @@
     }
     let calls = calls.clone();
     let seeds = seeds.to_vec();
-    let asked = async move {
-        let questions = seeds.iter().map(|seed| async {
-            let answer = timeout(PATIENCE, calls.member(*seed)).await;
+    let queried = async move {
+        let queries = seeds.iter().map(|seed| async {
+            let answer = timeout(SEED_TIMEOUT, calls.member(*seed)).await;
             answer.ok()?.ok().map(|member| member.heartbeat)
         });
-        let answers: Vec<Option<SocketAddr>> = join_all(questions).await;
+        let answers: Vec<Option<SocketAddr>> = join_all(queries).await;
         answers.into_iter().flatten().collect()
     };
-    service.run(asked).unwrap_or_default()
+    service.run(queried).unwrap_or_default()
 }
--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! A whole node: everything bound, started and stopped together.
+//! A node as a whole: binding, starting and stopping its parts.
 
 mod bind_parts;
 mod bind_traffic;
--- a/crates/node/src/node/node_handle.rs
+++ b/crates/node/src/node/node_handle.rs
@@ -1,4 +1,4 @@
-//! The way to a running node from anywhere in the process.
+//! A handle for controlling a running node.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use crate::platform::KeyStore;
 use crate::settings::NodeSettings;
 
-/// Asks a running node to leave or to use other keys; cheap to clone.
+/// Shuts a running node down or replaces its keys; cheap to clone.
 #[derive(Clone)]
 pub struct NodeHandle {
     pub(super) inbox: ControlInbox,
@@ -23,15 +23,15 @@
 }
 
 impl NodeHandle {
-    /// Starts a graceful shutdown; later calls change nothing.
+    /// Starts a graceful shutdown; later calls have no effect.
     pub fn shutdown(&self) {
-        if self.shutdown.begin() {
+        if self.shutdown.start() {
             let shutdown = self.shutdown.clone();
             self.runtime.spawn(async move { shutdown.run().await });
         }
     }
 
-    /// Tells whether a shutdown was started.
+    /// Returns whether a shutdown was started.
     pub fn is_shutting_down(&self) -> bool {
         self.shutdown.is_started()
     }
@@ -45,11 +45,11 @@
 
     /// Resolves once a shutdown is complete.
     pub async fn finished(&mut self) {
-        // The sender lives as long as the node; without a node everything is finished.
+        // An error means that the node was dropped, so that nothing is left to wait for.
         let _ = self.finished.wait_for(|finished| *finished).await;
     }
 
-    /// Returns the runtime of the node's slow work.
+    /// Returns the runtime on which the node's I/O runs.
     pub fn runtime(&self) -> &Handle {
         &self.runtime
     }
--- a/crates/node/src/node/node_shutdown.rs
+++ b/crates/node/src/node/node_shutdown.rs
@@ -1,4 +1,4 @@
-//! Leaving without cutting a request.
+//! Graceful shutdown of a node.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -14,13 +14,13 @@
 use crate::shared::SharedView;
 use crate::shared::TrafficControl;
 
-/// How long the slices may take to be released. Without a controller nobody takes them, and the
-/// leases lapse by themselves long before.
-const RELEASE_BOUND: Duration = Duration::from_secs(10);
-/// How much longer than the longest deadline of any route the requests may take to be answered.
+/// Timeout of releasing the slices. Without a controller no node takes them over, and the leases
+/// lapse well before this timeout.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time allowed for answering the open requests, in addition to the longest deadline of all routes.
 const FINISH_GRACE: Duration = Duration::from_secs(2);
 
-/// Runs the steps of a shutdown in their order.
+/// Runs the steps of a graceful shutdown.
 pub(super) struct NodeShutdown {
     pub(super) inbox: ControlInbox,
     pub(super) view: Arc<SharedView>,
@@ -31,30 +31,30 @@
 }
 
 impl NodeShutdown {
-    /// Tells, once, that the shutdown is to be run.
-    pub(super) fn begin(&self) -> bool {
+    /// Marks the shutdown as started; returns true only for the first call.
+    pub(super) fn start(&self) -> bool {
         !self.started.swap(true, Ordering::AcqRel)
     }
 
-    /// Tells whether the shutdown was begun.
+    /// Returns whether the shutdown was started.
     pub(super) fn is_started(&self) -> bool {
         self.started.load(Ordering::Acquire)
     }
 
-    /// Releases the slices, then answers every request, then tells that all is finished.
+    /// Releases the slices, waits until every request is answered, and reports completion.
     pub(super) async fn run(&self) {
-        log::info!(event = "shutdown_started"; "leaving");
+        log::info!(event = "shutdown_started"; "starting a graceful shutdown");
         self.inbox.send(ControlEvent::ShutdownRequested);
         let mut released = self.released.clone();
         let all_released = released.wait_for(|released| *released);
-        if timeout(RELEASE_BOUND, all_released).await.is_err() {
-            log::warn!(event = "release_timed_out"; "leases are left to lapse");
+        if timeout(RELEASE_TIMEOUT, all_released).await.is_err() {
+            log::warn!(event = "release_timed_out"; "timed out releasing the slices; their leases will lapse");
         }
-        let bound = longest_deadline(self.view.intent.load().as_deref()) + FINISH_GRACE;
-        if timeout(bound, self.traffic.finish()).await.is_err() {
-            log::error!(event = "finish_timed_out"; "requests past their deadline are cut");
+        let time_limit = longest_deadline(self.view.intent.load().as_deref()) + FINISH_GRACE;
+        if timeout(time_limit, self.traffic.finish()).await.is_err() {
+            log::error!(event = "finish_timed_out"; "timed out waiting for open requests; aborting them");
         }
-        log::info!(event = "shutdown_finished"; "every request is answered");
+        log::info!(event = "shutdown_finished"; "finished the shutdown");
         self.finished.send_replace(true);
     }
 }
--- a/crates/node/src/node/open_node.rs
+++ b/crates/node/src/node/open_node.rs
@@ -1,4 +1,4 @@
-//! A node that is not running yet.
+//! A node before its start.
 
 use std::sync::Arc;
 
@@ -10,20 +10,20 @@
 use crate::settings::NodeSettings;
 use crate::shared::SharedView;
 
-/// Is a node with its far sides opened and nothing bound or started.
+/// A node whose dependencies are opened, with nothing bound or started.
 pub struct Node {
-    /// What the node was told.
+    /// The node's settings.
     pub settings: NodeSettings,
     /// The keys in force.
     pub keys: Arc<KeyStore>,
-    /// What its threads share.
+    /// The state shared by the node's threads.
     pub view: Arc<SharedView>,
-    /// The far sides; replace those that a test or a bench plays itself.
+    /// The external dependencies; tests and benchmarks replace some of them.
     pub boundaries: Boundaries,
 }
 
 impl Node {
-    /// Opens a node with the real far sides.
+    /// Opens a node with the dependencies of a deployed node.
     pub fn open(settings: NodeSettings) -> Result<Self, SpawnError> {
         let keys = Arc::new(KeyStore::open(&settings)?);
         let view = Arc::new(SharedView::default());
@@ -36,7 +36,7 @@
         })
     }
 
-    /// Binds every address and starts every thread, or nothing.
+    /// Binds all addresses and starts all threads; on an error, stops those already started.
     pub fn spawn(self) -> Result<RunningNode, SpawnError> {
         bind_parts(self)
     }
--- a/crates/node/src/node/run_error.rs
+++ b/crates/node/src/node/run_error.rs
@@ -1,12 +1,12 @@
-//! Why a running node ended by itself.
+//! Why a running node stopped by itself.
 
-/// Says what ended a node that was not asked to leave.
+/// Why a node stopped without a shutdown request.
 #[derive(Debug)]
 #[derive(thiserror::Error, miette::Diagnostic)]
 pub enum RunError {
-    /// The control thread ended on a broken invariant. Without it every lease lapses, so the
-    /// process ends too and leaves the rest to a fresh one.
-    #[error("the control thread ended unexpectedly")]
+    /// The control thread exited because of a violated invariant. Without it all leases lapse, so
+    /// the process exits too, to be replaced by a new one.
+    #[error("the control thread exited unexpectedly")]
     #[diagnostic(code(node::control_ended))]
     ControlEnded,
 }
--- a/crates/node/src/node/running_node.rs
+++ b/crates/node/src/node/running_node.rs
@@ -1,4 +1,4 @@
-//! A node that runs.
+//! A running node.
 
 use std::sync::Arc;
 use std::thread::JoinHandle;
@@ -16,7 +16,7 @@
 use crate::platform::OpenLink;
 use crate::shared::SharedView;
 
-/// Owns every thread and socket of a node; all end when it is dropped.
+/// Owns all threads and sockets of a node; dropping it stops them.
 pub struct RunningNode {
     pub(super) member: Member,
     pub(super) listening: ListeningLine,
@@ -31,27 +31,27 @@
 }
 
 impl RunningNode {
-    /// Returns who the node is and where others reach it.
+    /// Returns the node's identity and addresses.
     pub fn member(&self) -> &Member {
         &self.member
     }
 
-    /// Returns what the node's threads share.
+    /// Returns the state shared by the node's threads.
     pub fn view(&self) -> &Arc<SharedView> {
         &self.view
     }
 
-    /// Returns a handle by which the node can be asked to leave.
+    /// Returns a handle for shutting the node down.
     pub fn handle(&self) -> NodeHandle {
         self.handle.clone()
     }
 
-    /// Returns the line that tells where the node listens.
+    /// Returns the line that reports the node's bound addresses.
     pub fn listening(&self) -> &ListeningLine {
         &self.listening
     }
 
-    /// Waits until a shutdown is complete, or until the node ends by itself.
+    /// Waits until a shutdown is complete, or until the node stops by itself.
     pub fn wait(self) -> Result<(), RunError> {
         let mut handle = self.handle.clone();
         let mut ended = self.control_ended.clone();
@@ -70,7 +70,7 @@
     fn drop(&mut self) {
         self.handle.inbox.send(ControlEvent::Stop);
         if let Some(control) = self.control.take() {
-            // A panic there was reported when it happened.
+            // A panic of the thread has already been reported.
             let _ = control.join();
         }
     }
--- a/crates/node/src/node/service_thread.rs
+++ b/crates/node/src/node/service_thread.rs
@@ -1,4 +1,4 @@
-//! The thread on which a node's servers and slow work run.
+//! The thread on which a node's call server, admin server and I/O run.
 
 use std::io;
 use std::sync::Arc;
@@ -13,10 +13,10 @@
 
 use crate::meters::ThreadMeter;
 
-/// How often the thread's processor time is noted.
-const NOTE_EVERY: Duration = Duration::from_secs(1);
+/// Interval between recordings of the thread's processor time.
+const RECORD_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Is one thread with a tokio runtime; it ends, with everything on it, when this is dropped.
+/// A thread with a tokio runtime; dropping this stops the thread and all tasks on it.
 pub(super) struct ServiceThread {
     handle: Handle,
     stop: Option<oneshot::Sender<()>>,
@@ -32,8 +32,8 @@
         let thread = thread::Builder::new()
             .name("service".to_owned())
             .spawn(move || {
-                runtime.spawn(note_time(meter));
-                // Either the node asks for the end, or it is gone.
+                runtime.spawn(record_time(meter));
+                // Returns when the stop signal is sent or its sender is dropped.
                 let _ = runtime.block_on(stopped);
                 runtime.shutdown_background();
             })?;
@@ -44,12 +44,12 @@
         })
     }
 
-    /// Returns the way to run work on the thread.
+    /// Returns a handle to the runtime.
     pub(super) fn handle(&self) -> &Handle {
         &self.handle
     }
 
-    /// Runs a future on the thread and waits for its result; the caller must not be on it.
+    /// Runs a future on the thread and waits for its result; must not be called on that thread.
     pub(super) fn run<F, T>(&self, future: F) -> io::Result<T>
     where
         F: Future<Output = T> + Send + 'static,
@@ -57,7 +57,7 @@
     {
         let (sender, receiver) = mpsc::channel();
         self.handle.spawn(async move {
-            // Nobody listens only when the caller is gone.
+            // Sending fails only if the caller no longer exists.
             let _ = sender.send(future.await);
         });
         receiver.recv().map_err(io::Error::other)
@@ -82,8 +82,8 @@
     }
 }
 
-async fn note_time(meter: Arc<ThreadMeter>) {
-    let mut interval = tokio::time::interval(NOTE_EVERY);
+async fn record_time(meter: Arc<ThreadMeter>) {
+    let mut interval = tokio::time::interval(RECORD_INTERVAL);
     loop {
         interval.tick().await;
         meter.record();
--- a/crates/node/src/node/spawn_error.rs
+++ b/crates/node/src/node/spawn_error.rs
@@ -1,4 +1,4 @@
-//! Why a node did not start.
+//! Why a node can't be started.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,18 +7,18 @@
 
 use crate::platform::HttpClientError;
 
-/// Says which part of a node could not be started.
+/// Why a node can't be started.
 #[derive(Debug)]
 #[derive(thiserror::Error, miette::Diagnostic)]
 pub enum SpawnError {
-    /// The settings' keys can't be used.
-    #[error("the settings' keys can't be used")]
+    /// The settings' keys are invalid.
+    #[error("the settings' keys are invalid")]
     #[diagnostic(code(node::keys))]
     Keys(#[from] KeyError),
-    /// A connector to the outside can't be made.
-    #[error("a connector can't be made")]
+    /// An HTTP client can't be created.
+    #[error("an HTTP client can't be created")]
     #[diagnostic(code(node::connector))]
-    Connector(#[from] HttpClientError),
+    HttpClient(#[from] HttpClientError),
     /// A thread can't be started.
     #[error("a thread can't be started")]
     #[diagnostic(code(node::thread))]
@@ -29,9 +29,9 @@
     Bind {
         /// The part of the node.
         part: &'static str,
-        /// The wanted address.
+        /// The address to be bound.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
     /// The traffic threads can't be started.
