--- a/crates/node/src/admin/admin_server.rs
+++ b/crates/node/src/admin/admin_server.rs
@@ -16,20 +16,23 @@
 use super::announcement_route;
 use super::read_routes;
 
-/// Bounds the body of an announcement; a real one has a few hundred bytes.
-const LARGEST_BODY: ByteUnit = ByteUnit::Kibibyte(16);
+/// Maximum size of an announcement's body; a usual one has a few hundred bytes.
+const MAX_BODY: ByteUnit = ByteUnit::Kibibyte(16);
 
-/// Answers operators and takes announcements.
+/// Serves operators and receives announcements.
 pub struct AdminServer;
 
 impl AdminServer {
-    /// Binds `address` and answers on the current tokio runtime.
+    /// Binds `address` and serves on the current tokio runtime.
     pub async fn bind(state: AdminState, address: SocketAddr) -> io::Result<RunningAdmin> {
-        let (told, hears) = oneshot::channel();
-        let told = std::sync::Mutex::new(Some(told));
+        let (sender, receiver) = oneshot::channel();
+        let bound_sender = std::sync::Mutex::new(Some(sender));
         let liftoff = AdHoc::on_liftoff("bound", move |rocket| {
             Box::pin(async move {
-                let sender = told.lock().ok().and_then(|mut told| told.take());
+                let sender = bound_sender
+                    .lock()
+                    .ok()
+                    .and_then(|mut sender| sender.take());
                 let bound = SocketAddr::new(rocket.config().address, rocket.config().port);
                 if let Some(sender) = sender {
                     let _ = sender.send((bound, rocket.shutdown()));
@@ -49,17 +52,17 @@
             .mount("/", routes)
             .attach(liftoff);
         let running = tokio::spawn(server.launch());
-        match hears.await {
+        match receiver.await {
             Ok((address, shutdown)) => Ok(RunningAdmin { address, shutdown }),
-            Err(_) => Err(why_not(running).await),
+            Err(_) => Err(launch_error(running).await),
         }
     }
 }
 
 fn config(address: SocketAddr) -> Config {
     let limits = Limits::new()
-        .limit("json", LARGEST_BODY)
-        .limit("string", LARGEST_BODY);
+        .limit("json", MAX_BODY)
+        .limit("string", MAX_BODY);
     Config {
         address: address.ip(),
         port: address.port(),
@@ -75,9 +78,9 @@
     }
 }
 
-type Launched = Result<rocket::Rocket<rocket::Ignite>, rocket::Error>;
+type LaunchResult = Result<rocket::Rocket<rocket::Ignite>, rocket::Error>;
 
-async fn why_not(running: JoinHandle<Launched>) -> io::Error {
+async fn launch_error(running: JoinHandle<LaunchResult>) -> io::Error {
     match running.await {
         Ok(Err(error)) => match error.kind() {
             rocket::error::ErrorKind::Bind(cause) => {
@@ -85,6 +88,6 @@
             }
             kind => io::Error::other(kind.to_string()),
         },
-        _ => io::Error::other("the admin port ended before it was bound"),
+        _ => io::Error::other("the admin server stopped before its port was bound"),
     }
 }
--- a/crates/node/src/admin/admin_state.rs
+++ b/crates/node/src/admin/admin_state.rs
@@ -1,4 +1,4 @@
-//! What the admin port's answers are made from.
+//! State of the admin server.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -16,30 +16,30 @@
 use crate::shared::SharedView;
 use crate::shared::TrafficControl;
 
-/// Holds the parts of the node that operators may look at.
+/// The parts of the node that the routes of the admin port use.
 pub struct AdminState {
     /// The environment.
     pub environment: EnvironmentName,
-    /// The followed stage.
+    /// The stage whose intent the node follows.
     pub stage: Stage,
-    /// The node's own address.
+    /// The address on which the node listens.
     pub address: IpAddr,
-    /// Whether reads need a proof of an operator's key.
+    /// Whether reads must be authenticated with an operator's key.
     pub guard_reads: bool,
     /// The keys in force.
     pub keys: Arc<KeyStore>,
-    /// Who this node is, once every address is bound.
+    /// This node's identity and addresses; set once every address is bound.
     pub member: Arc<OnceLock<Member>>,
     /// The host's clocks.
     pub clock: Arc<dyn Clock>,
-    /// What traffic threads read.
+    /// The state shared with the traffic threads.
     pub view: Arc<SharedView>,
-    /// What the control thread shows.
+    /// The state of the control thread.
     pub board: Arc<ControlBoard>,
-    /// The way to the control thread.
+    /// The control thread's event queue.
     pub inbox: ControlInbox,
-    /// The traffic threads' counts.
+    /// Provides the traffic threads' counts.
     pub traffic: Arc<dyn TrafficControl>,
-    /// What control costs.
+    /// Resource use of the control work.
     pub cost: Arc<CostMeter>,
 }
--- a/crates/node/src/admin/announcement_route.rs
+++ b/crates/node/src/admin/announcement_route.rs
@@ -1,4 +1,4 @@
-//! Taking announcements.
+//! The route for announcements of the backend server.
 
 use quetzalrack_core::cluster::Announcement;
 use rocket::State;
@@ -9,7 +9,7 @@
 use super::local_sender::LocalSender;
 use crate::control::ControlEvent;
 
-/// Takes one announcement of the backend server beside this node.
+/// Receives one announcement of the backend server beside this node.
 #[rocket::post("/announcements", data = "<announcement>")]
 pub(super) fn announce(
     _sender: LocalSender,
--- a/crates/node/src/admin/local_sender.rs
+++ b/crates/node/src/admin/local_sender.rs
@@ -1,4 +1,4 @@
-//! Who may announce a backend server.
+//! Request guard that allows only senders on this host.
 
 use rocket::Request;
 use rocket::State;
@@ -8,10 +8,10 @@
 
 use super::AdminState;
 
-/// Is a sender on this very host.
+/// A sender on this host.
 ///
-/// Anybody else who could announce a backend server could have this node's work sent to an address
-/// of its own. The socket's address is checked, never a header that the sender may write.
+/// A remote sender who could announce a backend server could redirect this node's requests to its
+/// own address. The guard checks the address of the socket, because headers can be forged.
 pub(super) struct LocalSender;
 
 #[rocket::async_trait]
@@ -29,7 +29,7 @@
         if is_local {
             return Outcome::Success(Self);
         }
-        log::warn!(event = "announcement_refused", from:? = request.remote(); "not from this host");
+        log::warn!(event = "announcement_refused", from:? = request.remote(); "rejected an announcement that was not sent from this host");
         Outcome::Error((Status::Forbidden, ()))
     }
 }
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The admin port: announcements of the backend server beside the node, and operators' reads.
+//! The admin port: announcements of the backend server beside the node, and reads by operators.
 
 mod admin_server;
 mod admin_state;
--- a/crates/node/src/admin/operator_reader.rs
+++ b/crates/node/src/admin/operator_reader.rs
@@ -1,4 +1,4 @@
-//! Who may read.
+//! Request guard for reads by operators.
 
 use quetzalrack_wire::access::AccessError;
 use quetzalrack_wire::access::AccessProof;
@@ -11,7 +11,8 @@
 
 use super::AdminState;
 
-/// Is a sender who has an operator's key, or anybody where the settings do not ask for one.
+/// A sender who has proved possession of an operator's key, or any sender if the settings don't
+/// require the proof.
 pub(super) struct OperatorReader;
 
 #[rocket::async_trait]
--- a/crates/node/src/admin/read_routes.rs
+++ b/crates/node/src/admin/read_routes.rs
@@ -1,4 +1,4 @@
-//! Operators' reads.
+//! The routes for reads by operators.
 
 use quetzalrack_core::burn::NodeSample;
 use quetzalrack_core::cluster::RoutingTable;
@@ -12,18 +12,18 @@
 use super::operator_reader::OperatorReader;
 use super::read_status::read_status;
 
-/// How many explanations are answered when the reader names no number.
-const USUAL_EXPLANATIONS: usize = 100;
-/// The most explanations in one answer.
-const MOST_EXPLANATIONS: usize = 1024;
+/// Number of explanations returned when the request names no limit.
+const DEFAULT_LIMIT: usize = 100;
+/// Maximum number of explanations in one response.
+const MAX_LIMIT: usize = 1024;
 
-/// Tells that the process answers; says nothing about its condition.
+/// Reports that the process answers requests; says nothing about its state.
 #[rocket::get("/health")]
 pub(super) fn health() -> &'static str {
     "ok"
 }
 
-/// Shows everything that one node does and has in force.
+/// Returns the node's status.
 #[rocket::get("/status")]
 pub(super) fn status(
     _reader: OperatorReader,
@@ -34,14 +34,14 @@
         .ok_or(Status::ServiceUnavailable)
 }
 
-/// Shows where requests go.
+/// Returns the routing table.
 #[rocket::get("/routing")]
 pub(super) fn routing(_reader: OperatorReader, state: &State<AdminState>) -> Json<RoutingTable> {
     Json((**state.view.routing.load()).clone())
 }
 
-/// Shows what this node did and why, oldest first; `text` keeps the entries that contain it, such
-/// as a slice, a request or a node.
+/// Returns the newest explanations of what this node did and why, oldest first. `text` filters for
+/// the entries that contain it, such as the name of a slice, a request or a node.
 #[rocket::get("/explanations?<text>&<limit>")]
 pub(super) fn explanations(
     _reader: OperatorReader,
@@ -49,16 +49,16 @@
     limit: Option<usize>,
     state: &State<AdminState>,
 ) -> Json<Vec<Explanation>> {
-    let limit = limit.unwrap_or(USUAL_EXPLANATIONS).min(MOST_EXPLANATIONS);
-    let wanted = |entry: &Explanation| text.is_none_or(|text| mentions(entry, text));
-    let mut found = state.view.explanations.newest(limit, wanted);
-    found.extend(state.view.refusals.newest(limit, wanted));
+    let limit = limit.unwrap_or(DEFAULT_LIMIT).min(MAX_LIMIT);
+    let matches = |entry: &Explanation| text.is_none_or(|text| mentions(entry, text));
+    let mut found = state.view.explanations.newest(limit, matches);
+    found.extend(state.view.refusals.newest(limit, matches));
     found.sort_by_key(|entry| entry.at);
     found.drain(..found.len().saturating_sub(limit));
     Json(found)
 }
 
-/// Shows the counters from which service-level burn is computed.
+/// Returns the counters from which the burn rate of service-level objectives is computed.
 #[rocket::get("/service-level")]
 pub(super) fn service_level(
     _reader: OperatorReader,
@@ -77,5 +77,5 @@
 }
 
 fn mentions(entry: &Explanation, text: &str) -> bool {
-    serde_json::to_string(&entry.happening).is_ok_and(|written| written.contains(text))
+    serde_json::to_string(&entry.happening).is_ok_and(|json| json.contains(text))
 }
--- a/crates/node/src/admin/read_status.rs
+++ b/crates/node/src/admin/read_status.rs
@@ -1,4 +1,4 @@
-//! Putting a node's status together.
+//! Assembly of a node's status.
 
 use std::sync::atomic::Ordering;
 
--- a/crates/node/src/admin/running_admin.rs
+++ b/crates/node/src/admin/running_admin.rs
@@ -1,12 +1,12 @@
-//! A bound admin port.
+//! A running admin server.
 
 use std::net::SocketAddr;
 
 use rocket::Shutdown;
 
-/// Is a bound admin port.
+/// A running admin server; dropping it stops the server.
 pub struct RunningAdmin {
-    /// Where it listens.
+    /// The bound address.
     pub address: SocketAddr,
     pub(super) shutdown: Shutdown,
 }
