--- a/crates/node/src/command/mod.rs
+++ b/crates/node/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The command line of `quetzalrack-node`, its signals and its log.
+//! The command line, signal handling and logging of `quetzalrack-node`.
 
 mod node_command;
 mod watch_signals;
--- a/crates/node/src/command/node_command.rs
+++ b/crates/node/src/command/node_command.rs
@@ -1,4 +1,4 @@
-//! Running a node as a process.
+//! The command line of the node process.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -14,12 +14,12 @@
 use crate::node::Node;
 use crate::settings::read_settings;
 
-/// The exit status for settings that can't be used, before anything was started.
-const BAD_SETTINGS: u8 = 2;
-/// What is logged when `RUST_LOG` says nothing; the HTTP libraries speak up only for trouble.
-const USUAL_LEVELS: &str = "info, rocket=error, hyper=warn, reqwest=warn, jsonrpsee=warn";
+/// The exit status if the settings are invalid; nothing has been started then.
+const INVALID_SETTINGS: u8 = 2;
+/// Log levels if `RUST_LOG` is not set; the HTTP libraries log only warnings or errors.
+const DEFAULT_LEVELS: &str = "info, rocket=error, hyper=warn, reqwest=warn, jsonrpsee=warn";
 
-/// Is the process beside one backend server.
+/// The command line of `quetzalrack-node`, the process beside one backend server.
 #[derive(Debug)]
 #[derive(Parser)]
 #[command(name = "quetzalrack-node", version, about)]
@@ -32,11 +32,11 @@
 }
 
 impl NodeCommand {
-    /// Runs the node until it is told to leave.
+    /// Runs the node until it is shut down.
     pub fn run(&self) -> ExitCode {
         let settings = match read_settings(&self.settings) {
             Ok(settings) => settings,
-            Err(error) => return fail(&Report::new(error), BAD_SETTINGS),
+            Err(error) => return fail(&Report::new(error), INVALID_SETTINGS),
         };
         if self.check {
             return ExitCode::SUCCESS;
@@ -55,11 +55,11 @@
     }
 }
 
-/// Starts the log. Whoever reads it may go away: by default the logger then complains on the same
-/// closed pipe, which panics in whatever thread logs next, the control thread included. Lost log
-/// lines are the lesser evil.
+/// Starts the logger. Write errors are discarded: if the reader of the log closes the pipe, the
+/// logger by default reports that on the same pipe, which panics in the thread that logs next,
+/// possibly the control thread. Lost log lines are preferable.
 fn start_logging() -> miette::Result<LoggerHandle> {
-    Logger::try_with_env_or_str(USUAL_LEVELS)
+    Logger::try_with_env_or_str(DEFAULT_LEVELS)
         .and_then(|logger| {
             logger
                 .format(flexi_logger::json_format)
