--- a/crates/node/src/settings/check_settings.rs
+++ b/crates/node/src/settings/check_settings.rs
@@ -1,4 +1,4 @@
-//! Checks that the JSON types can't express.
+//! Checks of the settings beyond those of their JSON types.
 
 use std::collections::BTreeSet;
 use std::net::IpAddr;
@@ -12,14 +12,14 @@
 use super::SettingsError;
 use super::locate_field::locate_field;
 
-/// The shortest secret, in hexadecimal digits: 128 bits.
-const SHORTEST_SECRET: usize = 32;
-/// Bounds the list of seeds; a handful is enough to find the rest.
-const MOST_SEEDS: usize = 64;
-/// Bounds each list of keys; two are needed during a rotation.
-const MOST_KEYS: usize = 16;
+/// Minimum length of a secret in hexadecimal digits: 128 bits.
+const MIN_SECRET_DIGITS: usize = 32;
+/// Maximum number of seeds; a few are enough to find the other nodes.
+const MAX_SEEDS: usize = 64;
+/// Maximum number of keys in each list; two are needed during a key rotation.
+const MAX_KEYS: usize = 16;
 
-/// Checks settings and returns the first problem; `text` is shown in its report.
+/// Checks the settings and returns the first error, whose report quotes `text`.
 pub(super) fn check_settings(
     name: &str,
     text: &str,
@@ -72,12 +72,12 @@
 fn check_ports(source: &Source<'_>, settings: &NodeSettings) -> Result<(), SettingsError> {
     let ports = &settings.ports;
     let mut seen = BTreeSet::new();
-    let streams = [
+    let tcp_ports = [
         ("traffic", ports.traffic),
         ("control", ports.control),
         ("admin", ports.admin),
     ];
-    for (field, port) in streams {
+    for (field, port) in tcp_ports {
         if port != 0 && !seen.insert(port) {
             return Err(SettingsError::DuplicatePort {
                 text: source.named(),
@@ -101,8 +101,8 @@
             field,
         });
     }
-    if keys.len() > MOST_KEYS {
-        let reason = format!("{field} has more than {MOST_KEYS} keys");
+    if keys.len() > MAX_KEYS {
+        let reason = format!("{field} has more than {MAX_KEYS} keys");
         return Err(source.wrong_value(&[field], reason));
     }
     let mut seen = BTreeSet::new();
@@ -127,11 +127,11 @@
     key: &KeySettings,
 ) -> Result<(), SettingsError> {
     if key.id.is_empty() || key.id.len() > 63 {
-        let reason = "a key's id has 1 to 63 characters".to_owned();
+        let reason = "a key's id must have 1 to 63 characters".to_owned();
         return Err(source.wrong_value(&[field, index, "id"], reason));
     }
     let is_hex = key.secret.bytes().all(|byte| byte.is_ascii_hexdigit());
-    if is_hex && key.secret.len() >= SHORTEST_SECRET && key.secret.len().is_multiple_of(2) {
+    if is_hex && key.secret.len() >= MIN_SECRET_DIGITS && key.secret.len().is_multiple_of(2) {
         return Ok(());
     }
     Err(SettingsError::WeakKey {
@@ -142,11 +142,11 @@
 
 fn check_counts(source: &Source<'_>, settings: &NodeSettings) -> Result<(), SettingsError> {
     if settings.threads == Some(0) || settings.threads.is_some_and(|threads| threads > 64) {
-        let reason = "threads is between 1 and 64".to_owned();
+        let reason = "threads must be between 1 and 64".to_owned();
         return Err(source.wrong_value(&["threads"], reason));
     }
-    if settings.seeds.len() > MOST_SEEDS {
-        let reason = format!("seeds has more than {MOST_SEEDS} addresses");
+    if settings.seeds.len() > MAX_SEEDS {
+        let reason = format!("seeds has more than {MAX_SEEDS} addresses");
         return Err(source.wrong_value(&["seeds"], reason));
     }
     Ok(())
--- a/crates/node/src/settings/locate_field.rs
+++ b/crates/node/src/settings/locate_field.rs
@@ -1,4 +1,4 @@
-//! Where a field stands in the settings' text.
+//! Location of a field in the settings' text.
 
 use jsonc_parser::CollectOptions;
 use jsonc_parser::ParseOptions;
@@ -7,8 +7,8 @@
 use jsonc_parser::parse_to_ast;
 use miette::SourceSpan;
 
-/// Finds the value at a path of names and positions, such as `["node_keys", "0", "id"]`; the
-/// nearest enclosing value that exists stands in for one that does not.
+/// Returns the span of the value at a path of names and indices, such as `["node_keys", "0", "id"]`,
+/// or of the nearest enclosing value if there is none at the path.
 pub(super) fn locate_field(text: &str, path: &[&str]) -> SourceSpan {
     let parsed = parse_to_ast(text, &CollectOptions::default(), &ParseOptions::default());
     let Some(root) = parsed.ok().and_then(|parsed| parsed.value) else {
--- a/crates/node/src/settings/mask_secrets.rs
+++ b/crates/node/src/settings/mask_secrets.rs
@@ -1,17 +1,16 @@
-//! Keeping keys out of error reports.
+//! Masking of secrets in error reports.
 
-const FIELD: &str = "\"secret\"";
+const SECRET_FIELD: &str = "\"secret\"";
 
-/// Overwrites the content of every secret by as many stars, so that places stay the same.
+/// Replaces each secret by the same number of asterisks, so that positions in the text don't change.
 ///
-/// A report prints the lines around a slip; with the plain text a typing slip would put a key into
-/// a terminal's history or a log. This works on the raw text because a slip may be anywhere, also
-/// in the JSON syntax itself.
+/// A report quotes the lines around an error; unmasked, it could put a secret into a terminal's
+/// history or a log. This works on the raw text because the error may be in the JSON syntax itself.
 pub(super) fn mask_secrets(text: &str) -> String {
     let mut masked = String::with_capacity(text.len());
     let mut rest = text;
-    while let Some(found) = rest.find(FIELD) {
-        let (before, after) = rest.split_at(found + FIELD.len());
+    while let Some(found) = rest.find(SECRET_FIELD) {
+        let (before, after) = rest.split_at(found + SECRET_FIELD.len());
         masked.push_str(before);
         let start = after.find('"').map_or(after.len(), |quote| quote + 1);
         let length = after[start..].find(['"', '\n']);
--- a/crates/node/src/settings/node_settings.rs
+++ b/crates/node/src/settings/node_settings.rs
@@ -1,4 +1,4 @@
-//! The whole settings file.
+//! The content of the settings file.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -14,8 +14,8 @@
 use super::KeySettings;
 use super::PortSettings;
 
-/// Is what a node must be told at start; everything else comes from the log, from other nodes and
-/// from the backend server's announcements.
+/// The settings that a node needs at start; it learns everything else from the log, from other nodes
+/// and from the backend server's announcements.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -33,33 +33,33 @@
     /// The ports.
     #[serde(default)]
     pub ports: PortSettings,
-    /// Where the log service is, as `http://IP:PORT`.
+    /// The address of the log service, as `http://IP:PORT`.
     pub log: String,
-    /// Control addresses of other nodes, asked when the log service is down at start.
+    /// Control addresses of other nodes, queried if the log service is unreachable.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Keys by which nodes know each other.
+    /// Keys by which nodes authenticate each other.
     pub node_keys: Vec<KeySettings>,
-    /// Keys by which operators' records and calls are known.
+    /// Keys by which operators' records and reads are authenticated.
     pub operator_keys: Vec<KeySettings>,
-    /// Where metrics go; none costs nothing.
+    /// The address to which metrics are sent; without it none are collected.
     #[serde(default)]
     pub statsd: Option<SocketAddr>,
-    /// How many threads carry traffic; the number of cores by default, four at most.
+    /// Number of traffic threads; by default the number of cores, at most four.
     #[serde(default)]
     pub threads: Option<usize>,
-    /// Whether operators' reads of the admin port need a proof of an operator's key.
+    /// Whether operators' reads of the admin port must be authenticated with an operator's key.
     #[serde(default)]
     pub guard_reads: bool,
-    /// Ports that other nodes are told in place of the bound ones, where something stands in front
-    /// of the node; zero tells the bound one.
+    /// Ports announced to other nodes instead of the bound ones, for example behind a proxy; zero
+    /// announces the bound port.
     #[serde(default)]
     pub advertise: PortSettings,
-    /// How a node is chosen where any may answer; for experiments only.
+    /// How a node is chosen for requests that any node may serve; for experiments only.
     #[serde(default)]
     pub choice: BalancingPolicy,
-    /// Whether slow repeatable requests are sent a second time; for experiments only. Without it
-    /// they are, unless a baseline was chosen.
+    /// Whether slow repeatable requests are hedged, that is sent a second time; for experiments
+    /// only. By default they are, unless `choice` names another policy than the default.
     #[serde(default)]
     pub hedging: Option<bool>,
 }
--- a/crates/node/src/settings/read_settings.rs
+++ b/crates/node/src/settings/read_settings.rs
@@ -1,4 +1,4 @@
-//! Reading a settings file.
+//! Reading and parsing of a settings file.
 
 use std::fs::File;
 use std::io::Read;
@@ -15,8 +15,8 @@
 use super::check_settings::check_settings;
 use super::mask_secrets::mask_secrets;
 
-/// Bounds a settings file, in bytes; a real one has a few hundred.
-const LARGEST_FILE: u64 = 64 * 1024;
+/// Maximum size of a settings file in bytes; a usual one has a few hundred.
+const MAX_FILE_BYTES: u64 = 64 * 1024;
 
 /// Reads and checks a settings file.
 pub fn read_settings(path: &Path) -> Result<NodeSettings, SettingsError> {
@@ -33,12 +33,12 @@
     parse_settings(&path.display().to_string(), &text)
 }
 
-/// Parses and checks settings; `name` stands for the file in error messages.
+/// Parses and checks settings; error messages show `name` as the name of the file.
 pub fn parse_settings(name: &str, text: &str) -> Result<NodeSettings, SettingsError> {
-    let shown = mask_secrets(text);
+    let masked = mask_secrets(text);
     let settings = serde_json::from_str::<NodeSettings>(text)
-        .map_err(|error| explain_parse_error(name, &shown, &error))?;
-    check_settings(name, &shown, &settings)?;
+        .map_err(|error| explain_parse_error(name, &masked, &error))?;
+    check_settings(name, &masked, &settings)?;
     Ok(settings)
 }
 
@@ -49,13 +49,13 @@
     };
     let file = File::open(path).map_err(unreadable)?;
     let mut bytes = Vec::new();
-    file.take(LARGEST_FILE + 1)
+    file.take(MAX_FILE_BYTES + 1)
         .read_to_end(&mut bytes)
         .map_err(unreadable)?;
-    if bytes.len() as u64 > LARGEST_FILE {
+    if bytes.len() as u64 > MAX_FILE_BYTES {
         return Err(SettingsError::TooLarge {
             path: path.to_owned(),
-            limit: LARGEST_FILE,
+            limit: MAX_FILE_BYTES,
         });
     }
     Ok(bytes)
@@ -63,7 +63,7 @@
 
 fn explain_parse_error(name: &str, text: &str, error: &serde_json::Error) -> SettingsError {
     let at = span_of(text, error.line(), error.column());
-    let reason = without_place(&error.to_string());
+    let reason = strip_location(&error.to_string());
     let text = Arc::new(NamedSource::new(name, text.to_owned()));
     if error.classify() != Category::Data {
         return SettingsError::Syntax { text, at, reason };
@@ -80,7 +80,7 @@
     SettingsError::WrongValue { text, at, reason }
 }
 
-/// Turns the parser's line and column, both counted from one, into a span of one byte.
+/// Converts the parser's line and column, both counted from one, to a span of one byte.
 fn span_of(text: &str, line: usize, column: usize) -> SourceSpan {
     let start: usize = text
         .split_inclusive('\n')
@@ -91,8 +91,8 @@
     SourceSpan::from((offset, 1))
 }
 
-/// Cuts the place off the parser's message, because the report shows it in the text.
-fn without_place(message: &str) -> String {
+/// Removes the line and column from the parser's message, because the report marks them in the text.
+fn strip_location(message: &str) -> String {
     match message.rfind(" at line ") {
         Some(end) => message[..end].to_owned(),
         None => message.to_owned(),
--- a/crates/node/src/settings/settings_error.rs
+++ b/crates/node/src/settings/settings_error.rs
@@ -7,8 +7,8 @@
 use miette::NamedSource;
 use miette::SourceSpan;
 
-/// Names what is wrong and where; each kind has a code of its own that stays the same between
-/// releases, so that scripts can tell the kinds apart.
+/// An error in a settings file and its location. Each kind has its own code, which stays the same
+/// between releases, so that scripts can distinguish the kinds.
 #[derive(Debug)]
 #[derive(thiserror::Error, miette::Diagnostic)]
 pub enum SettingsError {
@@ -18,25 +18,25 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// The file is greater than any sensible settings file.
+    /// The file is larger than the limit.
     #[error("the settings file {} is larger than {limit} bytes", path.display())]
     #[diagnostic(code(settings::too_large))]
     TooLarge {
         /// The file.
         path: PathBuf,
-        /// The greatest size, in bytes.
+        /// The maximum size in bytes.
         limit: u64,
     },
     /// The file is not UTF-8 text.
-    #[error("the settings file {} is not UTF-8 text: byte {offset} is wrong", path.display())]
+    #[error("the settings file {} is not UTF-8 text: invalid byte at offset {offset}", path.display())]
     #[diagnostic(code(settings::not_utf8))]
     NotUtf8 {
         /// The file.
         path: PathBuf,
-        /// The first wrong byte, counted from zero.
+        /// The offset of the first invalid byte, counted from zero.
         offset: usize,
     },
     /// The file has no content.
@@ -46,43 +46,43 @@
         /// The file.
         path: PathBuf,
     },
-    /// The text is not JSON.
-    #[error("the settings are not JSON: {reason}")]
+    /// The text is not valid JSON.
+    #[error("the settings are not valid JSON: {reason}")]
     #[diagnostic(code(settings::syntax))]
     Syntax {
         /// The text.
         #[source_code]
         text: Arc<NamedSource<String>>,
-        /// The place.
+        /// The location.
         #[label("here")]
         at: SourceSpan,
-        /// The parser's words.
+        /// The parser's message.
         reason: String,
     },
-    /// A field is not one of the known ones.
+    /// A field is unknown.
     #[error("{reason}")]
     #[diagnostic(code(settings::unknown_field))]
     UnknownField {
         /// The text.
         #[source_code]
         text: Arc<NamedSource<String>>,
-        /// The place.
+        /// The location.
         #[label("here")]
         at: SourceSpan,
-        /// The parser's words.
+        /// The parser's message.
         reason: String,
     },
-    /// A required field is not there.
+    /// A required field is missing.
     #[error("{reason}")]
     #[diagnostic(code(settings::missing_field))]
     MissingField {
         /// The text.
         #[source_code]
         text: Arc<NamedSource<String>>,
-        /// The place.
+        /// The location.
         #[label("in this object")]
         at: SourceSpan,
-        /// The parser's words.
+        /// The parser's message.
         reason: String,
     },
     /// A value has the wrong JSON type.
@@ -92,83 +92,83 @@
         /// The text.
         #[source_code]
         text: Arc<NamedSource<String>>,
-        /// The place.
+        /// The location.
         #[label("here")]
         at: SourceSpan,
-        /// The parser's words.
+        /// The parser's message.
         reason: String,
     },
-    /// A value has the right type and a wrong content.
+    /// A value has the right type but is not allowed.
     #[error("{reason}")]
     #[diagnostic(code(settings::wrong_value))]
     WrongValue {
         /// The text.
         #[source_code]
         text: Arc<NamedSource<String>>,
-        /// The place.
+        /// The location.
         #[label("here")]
         at: SourceSpan,
         /// What is wrong with it.
         reason: String,
     },
-    /// The log service's address can't be used.
-    #[error("the log service is written as http://IP:PORT")]
+    /// The log service's address is invalid.
+    #[error("the log service's address must have the form http://IP:PORT")]
     #[diagnostic(code(settings::log_address))]
     LogAddress {
         /// The text.
         #[source_code]
         text: Arc<NamedSource<String>>,
-        /// The place.
+        /// The location.
         #[label("here")]
         at: SourceSpan,
     },
-    /// A list of keys is empty, so that nobody could be authenticated.
-    #[error("{field} needs at least one key")]
+    /// A list of keys is empty, so that no sender could be authenticated.
+    #[error("{field} must contain at least one key")]
     #[diagnostic(code(settings::no_key))]
     NoKey {
         /// The text.
         #[source_code]
         text: Arc<NamedSource<String>>,
-        /// The place.
+        /// The location.
         #[label("here")]
         at: SourceSpan,
         /// The list.
         field: &'static str,
     },
     /// A secret is too short or not hexadecimal.
-    #[error("a secret is an even number of hexadecimal digits, 32 at least")]
+    #[error("a secret must have an even number of hexadecimal digits, at least 32")]
     #[diagnostic(code(settings::weak_key))]
     WeakKey {
         /// The text.
         #[source_code]
         text: Arc<NamedSource<String>>,
-        /// The place; the label shows the key's name, never the secret.
+        /// The location; the label marks the key's id, never the secret.
         #[label("the secret of this key")]
         at: SourceSpan,
     },
-    /// Two keys of one list have one name.
-    #[error("the key {id} stands twice in {field}")]
+    /// Two keys in one list have the same id.
+    #[error("the key id {id} occurs twice in {field}")]
     #[diagnostic(code(settings::duplicate_key))]
     DuplicateKey {
         /// The text.
         #[source_code]
         text: Arc<NamedSource<String>>,
-        /// The place.
+        /// The location.
         #[label("this one")]
         at: SourceSpan,
         /// The list.
         field: &'static str,
-        /// The name.
+        /// The id.
         id: String,
     },
-    /// Two TCP parts were told to use one port.
-    #[error("the port {port} is given to two parts")]
+    /// Two TCP servers of the node are configured with the same port.
+    #[error("the port {port} is used by two servers of the node")]
     #[diagnostic(code(settings::duplicate_port))]
     DuplicatePort {
         /// The text.
         #[source_code]
         text: Arc<NamedSource<String>>,
-        /// The place.
+        /// The location.
         #[label("here")]
         at: SourceSpan,
         /// The port.
