--- a/crates/mesh/src/model/route.rs
+++ b/crates/mesh/src/model/route.rs
@@ -25,7 +25,7 @@
     pub kind: RequestKind,
     /// The time limit for a response, if the operators set one.
     pub timeout: Option<Duration>,
-    /// The target time for a response.
+    /// The target time for a response; a response within it has its full value.
     pub objective: Duration,
     /// The number of backend servers to which one request may be sent.
     pub attempts: u32,
--- a/crates/mesh/src/placement/pick_moves.rs
+++ b/crates/mesh/src/placement/pick_moves.rs
@@ -177,7 +177,8 @@
 }
 
 /// Returns the narrowest run of keys that occupies about the wanted number of slots, and the number that
-/// it occupies, which is at most `max_slots`.
+/// it occupies, which is at most `max_slots`. With more, the target would be busier than the
+/// source.
 fn narrowest_run(key_loads: &[KeyLoad], wanted: f64, max_slots: f64) -> Option<(KeyRange, f64)> {
     let mut best: Option<(KeyRange, f64)> = None;
     for (start, first) in key_loads.iter().enumerate() {
--- a/crates/mesh/tests/ownership_support/mod.rs
+++ b/crates/mesh/tests/ownership_support/mod.rs
@@ -1,5 +1,6 @@
 //! A simulated fleet of node machines with fake servers, a fake store and a faulty network, in virtual
 //! time. All random choices come from one seed.
+//! Each test file uses a part of this module.
 #![allow(dead_code, unused_imports)]
 
 mod fake_server;
