--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,5 +1,5 @@
 //! The node: a process beside each backend server that proxies requests to and from it, holds
-//! leases for its slices and, when elected, is the controller of its cluster.
+//! leases for its slices and, when chosen, is the controller of its cluster.
 //!
 //! One thread runs the control state machines, other threads carry traffic; they share only the
 //! state in [`shared`]. See `docs/ARCHITECTURE.md`.
