--- a/crates/core/tests/ownership/answers.rs
+++ b/crates/core/tests/ownership/answers.rs
@@ -8,13 +8,13 @@
 
 #[test]
 fn late_grant() {
-    // Grants and renewals come up to three lease times late, doubled and overtaking each other.
+    // Grants and renewals come up to three lease times late, duplicated and overtaking each other.
     // Leases run from the sending of the heartbeat, so none is longer than the controller counts.
     for seed in 0..40 {
         let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
         cluster.faults = Faults {
             lost: 10,
-            doubled: 40,
+            duplicated: 40,
             late: 40,
             delay_us: 100_000,
             late_us: 3_600_000,
@@ -30,12 +30,12 @@
 
 /// A holder reports its leases to a deputy that has no majority yet and falls silent, while the old
 /// controller's answer to an earlier heartbeat is still on its way.
-fn overtaken_answer(rules: SafetyRules, seed: u64) -> Cluster {
-    let mut cluster = Cluster::started_under(rules, seed, Layout::new(5, 1, 10));
+fn superseded_answer(rules: SafetyRules, seed: u64) -> Cluster {
+    let mut cluster = Cluster::started_with(rules, seed, Layout::new(5, 1, 10));
     cluster.run(6_000 + seed * 23);
-    let line = cluster.line();
-    let (controller, deputy) = (line[0], line[1]);
-    let (holder, voters) = (line[4], &line[2..4]);
+    let controllers = cluster.controllers();
+    let (controller, deputy) = (controllers[0], controllers[1]);
+    let (holder, voters) = (controllers[4], &controllers[2..4]);
     // The controller's answers reach the holder late, and the deputy not at all; the deputy reaches
     // the holder alone.
     cluster.slow.insert((controller, holder), 650_000);
@@ -43,7 +43,7 @@
     cluster.cut(&[deputy], &[controller], true);
     cluster.cut(&[deputy], voters, true);
     for _ in 0..1_000 {
-        if cluster.followed_by(holder) == deputy {
+        if cluster.followed_controller(holder) == deputy {
             break;
         }
         cluster.run(1);
@@ -57,12 +57,12 @@
 }
 
 #[test]
-fn overtaken_renewal() {
+fn superseded_renewal() {
     // The holder has told the deputy how long its leases last. A late answer of the old controller
     // would lengthen them, and the deputy would give the slices away too early; adopting a higher
     // ballot voids it.
     for seed in 0..40 {
-        overtaken_answer(SafetyRules::default(), seed)
+        superseded_answer(SafetyRules::default(), seed)
             .checker
             .assert_clean();
     }
--- a/crates/core/tests/ownership/control_cost.rs
+++ b/crates/core/tests/ownership/control_cost.rs
@@ -4,11 +4,11 @@
 use crate::support::Layout;
 
 /// The most that one node may send and receive for control, in bytes per second.
-const BUDGET: u64 = 25_000;
+const MAX_BYTES_PER_S: u64 = 25_000;
 /// How many nodes a cell has at most.
-const LARGEST_CELL: u64 = 32;
+const MAX_CLUSTER_NODES: u64 = 32;
 /// The largest payload of a datagram in steady state.
-const DATAGRAM: u64 = 1_200;
+const MAX_DATAGRAM_BYTES: u64 = 1_200;
 const SPAN_S: u64 = 20;
 
 /// Returns the bytes per second, sent and received with signatures and headers, of the controller, the
@@ -23,13 +23,13 @@
         cluster.measure_traffic(100.0);
         cluster.run(200);
     }
-    let line = cluster.line();
+    let controllers = cluster.controllers();
     let rate = |node: usize| {
         let node = &cluster.nodes[node];
         (node.sent.bytes + node.received.bytes) / SPAN_S
     };
-    let deputy = line[1..].iter().map(|node| rate(*node)).max().unwrap_or(0);
-    let others = (0..cluster.nodes.len()).filter(|node| !line.contains(node));
+    let deputy = controllers[1..].iter().map(|node| rate(*node)).max().unwrap_or(0);
+    let others = (0..cluster.nodes.len()).filter(|node| !controllers.contains(node));
     let mut others: Vec<u64> = others.map(rate).collect();
     others.sort();
     let other = others.get(others.len() / 2).copied().unwrap_or(0);
@@ -39,27 +39,27 @@
         .map(|node| node.sent.largest)
         .max()
         .unwrap();
-    let controller = rate(line[0]);
+    let controller = rate(controllers[0]);
     println!(
         "{} nodes: controller {controller} B/s, deputy {deputy} B/s, other {other} B/s, largest datagram {largest} B",
         cluster.nodes.len()
     );
-    assert!(largest <= DATAGRAM, "a datagram of {largest} bytes");
+    assert!(largest <= MAX_DATAGRAM_BYTES, "a datagram of {largest} bytes");
     (controller, deputy, other)
 }
 
 #[test]
-fn bytes_by_cell() {
+fn bytes_by_cluster_size() {
     // Every role stays below the budget in cells of up to 32 nodes, each slice loaded and the loads
     // changing. A cell of 64 shows the slope; it is above the budget, so cells are smaller.
-    let cells = [(1, 1, 4u64), (1, 4, 16), (2, 4, 32), (4, 4, 64)];
-    let costs = cells.map(|(per_zone, services, nodes)| (nodes, measure(per_zone, services)));
+    let sizes = [(1, 1, 4u64), (1, 4, 16), (2, 4, 32), (4, 4, 64)];
+    let costs = sizes.map(|(per_zone, services, nodes)| (nodes, measure(per_zone, services)));
     let slope = (costs[3].1.0 - costs[0].1.0) / (costs[3].0 - costs[0].0);
     println!("controller: {slope} B/s for each further node");
     for (nodes, (controller, deputy, other)) in costs {
         let highest = controller.max(deputy).max(other);
         assert!(
-            highest <= BUDGET || nodes > LARGEST_CELL,
+            highest <= MAX_BYTES_PER_S || nodes > MAX_CLUSTER_NODES,
             "{nodes} nodes: {highest} B/s"
         );
     }
--- a/crates/core/tests/ownership/controller_change.rs
+++ b/crates/core/tests/ownership/controller_change.rs
@@ -37,13 +37,13 @@
     let mut cluster = Cluster::started(3, Layout::new(4, 4, 16));
     cluster.run(9_000);
     let lost = cluster.controller().unwrap();
-    let line = cluster.line();
+    let controllers = cluster.controllers();
     untouched_gap(&mut cluster, lost);
-    assert_eq!(cluster.controller(), Some(line[1]));
+    assert_eq!(cluster.controller(), Some(controllers[1]));
     let gaps = cluster.longest_gaps(8_000);
     assert_eq!(gaps.values().max(), Some(&0));
-    assert_ne!(cluster.line(), line);
-    assert!(!cluster.line().contains(&lost));
+    assert_ne!(cluster.controllers(), controllers);
+    assert!(!cluster.controllers().contains(&lost));
 }
 
 /// Guards against tables of a new controller without the nodes that it has not heard yet: every ingress
--- a/crates/core/tests/ownership/cuts.rs
+++ b/crates/core/tests/ownership/cuts.rs
@@ -75,7 +75,7 @@
     let controller = cluster.controller().unwrap();
     cluster.log_cuts.insert(controller);
     let holder = (0..5)
-        .find(|node| !cluster.line()[..2].contains(node))
+        .find(|node| !cluster.controllers()[..2].contains(node))
         .unwrap();
     cluster.kill(holder);
     cluster.run(2_000);
@@ -105,18 +105,18 @@
 }
 
 #[test]
-fn deaf_deputy() {
+fn one_way_cut() {
     // One direction of one link is cut: the first deputy does not hear the controller any more. It
     // takes over, because it can't know better. The old controller's own leases end, since its
     // heartbeats do not reach the new one; no other key is unserved.
     let mut cluster = Cluster::started(2, Layout::new(5, 1, 10));
     cluster.run(6_000);
-    let line = cluster.line();
+    let controllers = cluster.controllers();
     let before = cluster.owners();
-    cluster.cut(&[line[0]], &[line[1]], false);
+    cluster.cut(&[controllers[0]], &[controllers[1]], false);
     let gaps = cluster.longest_gaps(8_000);
     for (slice, gap) in gaps {
-        let touched = before[&slice] == Some(line[0]);
+        let touched = before[&slice] == Some(controllers[0]);
         assert!(gap == 0 || touched, "{slice} was unserved for {gap} ms");
     }
     assert_eq!(cluster.unserved().count(), 0);
@@ -124,18 +124,18 @@
 }
 
 #[test]
-fn lone_claimant() {
+fn isolated_claimant() {
     // A node reaches the log but no other node, and claims terms. The others have a controller that
     // they hear, and go on: nothing is unserved but what the lone node held.
     for seed in 0..10 {
         let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
         cluster.run(6_000);
-        let lone = cluster.line()[seed as usize % 4 + 1];
-        let rest = others(&cluster, &[lone]);
+        let isolated = cluster.controllers()[seed as usize % 4 + 1];
+        let rest = others(&cluster, &[isolated]);
         let before = cluster.owners();
-        cluster.cut(&[lone], &rest, true);
+        cluster.cut(&[isolated], &rest, true);
         for (slice, gap) in cluster.longest_gaps(30_000) {
-            let touched = before[&slice] == Some(lone);
+            let touched = before[&slice] == Some(isolated);
             assert!(gap == 0 || touched, "seed {seed}: {slice} for {gap} ms");
         }
         cluster.cuts.clear();
@@ -145,14 +145,14 @@
                 .owners()
                 .values()
                 .flatten()
-                .any(|node| *node == lone)
+                .any(|node| *node == isolated)
         );
         cluster.checker.assert_clean();
     }
 }
 
 #[test]
-fn deaf_to_all() {
+fn receives_nothing() {
     // A node hears nobody but is heard: first a holder, then the controller. It takes everybody for
     // silent. If it took a rank or a term, all would follow it, it would never hear a majority, and
     // no slice would have an owner for as long as it stays deaf.
@@ -160,9 +160,9 @@
         for rank in 0..2 {
             let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
             cluster.run(6_000);
-            let deaf = cluster.line()[rank];
-            let rest = others(&cluster, &[deaf]);
-            cluster.cut(&rest, &[deaf], false);
+            let receiver = cluster.controllers()[rank];
+            let rest = others(&cluster, &[receiver]);
+            cluster.cut(&rest, &[receiver], false);
             cluster.run(15_000);
             let unserved = cluster.unserved().count();
             assert_eq!(unserved, 0, "seed {seed}, rank {rank}");
--- a/crates/core/tests/ownership/left_out_rules.rs
+++ b/crates/core/tests/ownership/left_out_rules.rs
@@ -53,16 +53,16 @@
 /// A deputy hears its voters, but its first messages as controller reach only one of them, whose
 /// leases the old controller lets lapse meanwhile.
 fn late_majority(rules: SafetyRules, seed: u64) -> Cluster {
-    let mut cluster = Cluster::started_under(rules, seed, Layout::new(5, 1, 20));
+    let mut cluster = Cluster::started_with(rules, seed, Layout::new(5, 1, 20));
     cluster.run(6_000 + seed * 31);
-    let line = cluster.line();
-    let (old, deputy, holder) = (line[0], line[1], line[2]);
+    let controllers = cluster.controllers();
+    let (old, deputy, holder) = (controllers[0], controllers[1], controllers[2]);
     cluster.faults.delay_us = 20_000;
-    let voters: Vec<usize> = (0..5).filter(|node| !line[..3].contains(node)).collect();
+    let voters: Vec<usize> = (0..5).filter(|node| !controllers[..3].contains(node)).collect();
     cluster.cut(&[old], &[deputy, holder], true);
     let echoed = (0..2_000).any(|_| {
         cluster.run(1);
-        cluster.is_echo_underway(deputy)
+        cluster.is_echo_in_flight(deputy)
     });
     assert!(echoed, "the deputy did not probe");
     cluster.cut(&[deputy], &voters, false);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn late_round() {
+fn confirm_lapse() {
     // Without rule 1 a controller gives a silent holder's slices away although a higher one has
     // taken the holder over.
     let rules = SafetyRules {
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn early_majority() {
+fn timely_majority() {
     // A deputy takes over with one holder's report, but gets its majority only after the old
     // controller, whose voters it did not reach yet, has given that holder's slices away. Without
     // rule 2 it takes them for the reporting holder's, and gives them to others as soon as that one
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn sent_clock() {
+fn send_time() {
     // Without rule 4 a late answer lengthens a lease beyond what the controller counts.
     let rules = SafetyRules {
         send_time: false,
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn full_wait() {
+fn double_wait() {
     // With one lease time instead of two, a new controller gives away what the old one granted at
     // the end of its authority.
     let rules = SafetyRules {
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn named_release() {
+fn fenced_release() {
     // Without rule 6 a repeated release frees a newer grant of the same slice.
     let rules = SafetyRules {
         fenced_release: false,
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn named_lives() {
+fn exact_incarnation() {
     // Without rule 7 a restarted controller acts under its old ballot and forgets its grants.
     let rules = SafetyRules {
         exact_incarnation: false,
--- a/crates/core/tests/ownership/load_moves.rs
+++ b/crates/core/tests/ownership/load_moves.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn noise_alone() {
+fn even_load() {
     // Slices are asked for about equally often, give or take a fifth. Nothing moves.
     for seed in 0..5 {
         let mut cluster = Cluster::started(seed, Layout::new(4, 1, 16));
--- a/crates/core/tests/ownership/outage.rs
+++ b/crates/core/tests/ownership/outage.rs
@@ -12,29 +12,29 @@
         cluster.run(8_000);
         cluster.log.down = true;
         cluster.run(60_000);
-        let line = cluster.line();
-        let holder = (0..7).find(|node| !line[..3].contains(node)).unwrap();
-        for lost in [line[0], line[1], holder] {
+        let controllers = cluster.controllers();
+        let holder = (0..7).find(|node| !controllers[..3].contains(node)).unwrap();
+        for lost in [controllers[0], controllers[1], holder] {
             cluster.kill(lost);
             assert!(cluster.run_until_served(5_000) < 5_000);
             cluster.run(20_000);
             assert_eq!(cluster.unserved().count(), 0, "seed {seed}");
         }
-        assert_eq!(cluster.controller(), Some(line[2]));
+        assert_eq!(cluster.controller(), Some(controllers[2]));
         cluster.log.down = false;
         cluster.run(10_000);
-        assert!(!cluster.line().contains(&line[0]));
+        assert!(!cluster.controllers().contains(&controllers[0]));
         cluster.checker.assert_clean();
     }
 }
 
 #[test]
-fn late_newcomer() {
+fn start_during_outage() {
     // A node starts while the log is down. It learns of the controller from its peers and gets its
     // share of the slices.
     let mut cluster = Cluster::started(5, Layout::new(5, 1, 10));
     cluster.run(8_000);
-    let newcomer = cluster.line()[3];
+    let newcomer = cluster.controllers()[3];
     cluster.kill(newcomer);
     cluster.run(3_000);
     cluster.log.down = true;
--- a/crates/core/tests/ownership/pauses.rs
+++ b/crates/core/tests/ownership/pauses.rs
@@ -4,7 +4,7 @@
 use crate::support::Layout;
 
 #[test]
-fn frozen_controller() {
+fn paused_controller() {
     // The controller freezes past its lease, in the middle of granting a lost node's slices, and
     // thaws when a deputy has granted them to others. What it sends then answers heartbeats that
     // are too old to give a lease, and its first look at the clock ends its office.
@@ -13,7 +13,7 @@
         cluster.run(6_000);
         let controller = cluster.controller().unwrap();
         let holder = (0..5)
-            .find(|node| !cluster.line()[..2].contains(node))
+            .find(|node| !cluster.controllers()[..2].contains(node))
             .unwrap();
         cluster.kill(holder);
         cluster.run(1_150 + seed * 10);
@@ -25,14 +25,14 @@
 }
 
 #[test]
-fn frozen_holder() {
+fn paused_holder() {
     // A holder freezes between looking at its lease and sending. When it thaws, its slices have
     // other owners; the clock counts the frozen time, so its leases read as lapsed at once.
     for seed in 0..20 {
         let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
         cluster.run(6_000);
         let holder = (0..5)
-            .find(|node| !cluster.line()[..2].contains(node))
+            .find(|node| !cluster.controllers()[..2].contains(node))
             .unwrap();
         let owned = cluster.owners();
         cluster.pause(holder, 1_800 + seed * 60);
--- a/crates/core/tests/ownership/random_schedules.rs
+++ b/crates/core/tests/ownership/random_schedules.rs
@@ -17,13 +17,13 @@
 /// How many schedules run unless `QUETZALRACK_SCHEDULES` says otherwise.
 const SCHEDULES: u32 = 10_000;
 /// How many schedules run on until everything is served again.
-const MENDED_SCHEDULES: u32 = 400;
+const RECOVERY_SCHEDULES: u32 = 400;
 const WORKERS: u32 = 8;
 const REGRESSIONS: &str = "tests/ownership/random_schedules.regressions";
 
 #[test]
 fn single_owner() {
-    // Callers would get answers of two servers for one key if any order of lost, doubled and late
+    // Callers would get answers of two servers for one key if any order of lost, duplicated and late
     // messages, pauses, restarts, cuts and log outages let two nodes believe in one slice. The
     // checker compares what each node's traffic threads would send by their own clock.
     let wanted = std::env::var("QUETZALRACK_SCHEDULES").ok();
@@ -43,21 +43,21 @@
     // follow one controller.
     thread::scope(|scope| {
         for worker in 0..WORKERS {
-            scope.spawn(move || mend_worker(worker));
+            scope.spawn(move || run_recovery_worker(worker));
         }
     });
 }
 
-fn mend_worker(worker: u32) {
+fn run_recovery_worker(worker: u32) {
     let mut seed = [2; 32];
     seed[..4].copy_from_slice(&worker.to_le_bytes());
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &seed);
     let mut runner = TestRunner::new_with_rng(Config::default(), rng);
-    for _ in 0..MENDED_SCHEDULES / WORKERS {
+    for _ in 0..RECOVERY_SCHEDULES / WORKERS {
         let schedule = Schedule::strategy().new_tree(&mut runner);
         let schedule = schedule.unwrap().current();
         let mut cluster = schedule.run(SafetyRules::default());
-        cluster.mend();
+        cluster.repair();
         cluster.run(25_000);
         let unserved: Vec<_> = cluster.unserved().collect();
         assert!(unserved.is_empty(), "{unserved:?} after {schedule:?}");
--- a/crates/core/tests/ownership/recovery.rs
+++ b/crates/core/tests/ownership/recovery.rs
@@ -6,7 +6,7 @@
 use crate::support::Layout;
 
 const SEEDS: u64 = 20;
-const BOUND_MS: u64 = 5_000;
+const MAX_UNSERVED_MS: u64 = 5_000;
 /// A heartbeat's period, and the way of the last one and of the confirmation.
 const TOLERANCE_MS: i64 = 400 + 50;
 
@@ -34,9 +34,9 @@
 }
 
 fn holder(cluster: &Cluster) -> Vec<usize> {
-    let line = cluster.line();
+    let controllers = cluster.controllers();
     (0..cluster.nodes.len())
-        .filter(|node| !line.contains(node))
+        .filter(|node| !controllers.contains(node))
         .take(1)
         .collect()
 }
@@ -50,7 +50,7 @@
 }
 
 fn controller_and_deputy(cluster: &Cluster) -> Vec<usize> {
-    cluster.line()[..2].to_vec()
+    cluster.controllers()[..2].to_vec()
 }
 
 fn zone(cluster: &Cluster) -> Vec<usize> {
@@ -65,7 +65,7 @@
     // A host dies. Its keys are unserved until its leases have surely ended and a majority round
     // begun later has come back; then other nodes get them.
     for log_down in [false, true] {
-        assert!(measure("holder", log_down, holder).1 < BOUND_MS);
+        assert!(measure("holder", log_down, holder).1 < MAX_UNSERVED_MS);
     }
 }
 
@@ -74,7 +74,7 @@
     // The controller dies. The deputy takes over; only the keys of the dead host are unserved,
     // because nobody reports them and they wait two lease times.
     for log_down in [false, true] {
-        assert!(measure("controller", log_down, controller).1 < BOUND_MS);
+        assert!(measure("controller", log_down, controller).1 < MAX_UNSERVED_MS);
     }
 }
 
@@ -82,7 +82,7 @@
 fn lost_both() {
     // Controller and a holder die at once.
     for log_down in [false, true] {
-        assert!(measure("controller and holder", log_down, both).1 < BOUND_MS);
+        assert!(measure("controller and holder", log_down, both).1 < MAX_UNSERVED_MS);
     }
 }
 
@@ -95,7 +95,7 @@
             log_down,
             controller_and_deputy,
         );
-        assert!(worst < BOUND_MS);
+        assert!(worst < MAX_UNSERVED_MS);
     }
 }
 
@@ -103,7 +103,7 @@
 fn lost_zone() {
     // A whole availability zone dies, with the controller in it.
     for log_down in [false, true] {
-        assert!(measure("zone of the controller", log_down, zone).1 < BOUND_MS);
+        assert!(measure("zone of the controller", log_down, zone).1 < MAX_UNSERVED_MS);
     }
 }
 
--- a/crates/core/tests/ownership/restarts.rs
+++ b/crates/core/tests/ownership/restarts.rs
@@ -7,12 +7,12 @@
 
 /// A deputy takes over beyond a cut, and two voters that adopted it restart on the controller's
 /// side of the cut.
-fn forgetful_voters(rules: SafetyRules, seed: u64) -> Cluster {
-    let mut cluster = Cluster::started_under(rules, seed, Layout::new(5, 1, 10));
+fn restarted_voters(rules: SafetyRules, seed: u64) -> Cluster {
+    let mut cluster = Cluster::started_with(rules, seed, Layout::new(5, 1, 10));
     cluster.run(6_000 + seed * 31);
-    let line = cluster.line();
-    let (controller, deputy) = (line[0], line[1]);
-    let rest: Vec<usize> = (0..5).filter(|node| !line[..2].contains(node)).collect();
+    let controllers = cluster.controllers();
+    let (controller, deputy) = (controllers[0], controllers[1]);
+    let rest: Vec<usize> = (0..5).filter(|node| !controllers[..2].contains(node)).collect();
     let (holder, voters) = (rest[0], [rest[1], rest[2]]);
     cluster.cut(&[controller], &[deputy, holder], true);
     cluster.run(560);
@@ -28,12 +28,12 @@
 }
 
 #[test]
-fn forgotten_ballot() {
+fn lost_ballot() {
     // Voters adopt a deputy and restart. Had they acknowledged the old controller at once, it
     // would have kept its majority and given away slices that the deputy had extended. They abstain
     // for two lease times instead, and the old controller stands down.
     for seed in 0..20 {
-        let cluster = forgetful_voters(SafetyRules::default(), seed);
+        let cluster = restarted_voters(SafetyRules::default(), seed);
         assert_eq!(cluster.unserved().count(), 0, "seed {seed}");
         cluster.checker.assert_clean();
     }
@@ -42,7 +42,7 @@
         ..SafetyRules::default()
     };
     let broken = (0..20).filter(|seed| {
-        let cluster = forgetful_voters(rules, *seed);
+        let cluster = restarted_voters(rules, *seed);
         !cluster.checker.double_owners.is_empty()
     });
     let broken = broken.count();
--- a/crates/core/tests/ownership/retention.rs
+++ b/crates/core/tests/ownership/retention.rs
@@ -4,15 +4,15 @@
 use crate::support::Layout;
 
 #[test]
-fn sleeping_node() {
+fn paused_node() {
     // A node sleeps while retention passes its offset. It reads on from the oldest record, learns
     // the term from the controller or a checkpoint, and never starts a term of its own.
     for seed in 0..5 {
         let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
         cluster.run(6_000);
-        let sleeper = cluster.line()[4];
+        let paused = cluster.controllers()[4];
         let controller = cluster.controller();
-        cluster.pause(sleeper, 40_000);
+        cluster.pause(paused, 40_000);
         cluster.run(5_000);
         cluster.log.expire_all();
         cluster.run(60_000);
@@ -22,14 +22,14 @@
                 .owners()
                 .values()
                 .flatten()
-                .any(|node| *node == sleeper)
+                .any(|node| *node == paused)
         );
         cluster.checker.assert_clean();
     }
 }
 
 #[test]
-fn expired_fleet() {
+fn expired_log() {
     // Every host is replaced after everything in the log has expired. The first claim numbers its
     // term after the offset, above every earlier one, so fences go on rising.
     let mut cluster = Cluster::started(3, Layout::new(4, 1, 8));
@@ -55,7 +55,7 @@
     for seed in 0..10 {
         let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
         cluster.run(6_000);
-        let newcomer = cluster.line()[4];
+        let newcomer = cluster.controllers()[4];
         cluster.kill(newcomer);
         cluster.run(4_000);
         cluster.log.down = true;
--- a/crates/core/tests/ownership/shut_down.rs
+++ b/crates/core/tests/ownership/shut_down.rs
@@ -23,11 +23,11 @@
 }
 
 #[test]
-fn nobody_answers() {
+fn no_controller_answers() {
     // A node that no controller answers finishes what it has and goes within bounded time.
     let mut cluster = Cluster::started(4, Layout::new(4, 1, 8));
     cluster.run(8_000);
-    let leaving = cluster.line()[2];
+    let leaving = cluster.controllers()[2];
     cluster.cut(&[leaving], &[0, 1, 2, 3], true);
     cluster.shut_down(leaving);
     cluster.run(4_000);
--- a/crates/core/tests/ownership/start_up.rs
+++ b/crates/core/tests/ownership/start_up.rs
@@ -4,7 +4,7 @@
 use crate::support::Layout;
 
 /// What one fleet may append to the log in a second, of the several hundred that it takes.
-const MOST_APPENDS: usize = 140;
+const MAX_APPENDS_PER_S: usize = 140;
 
 #[test]
 fn empty_environment() {
@@ -37,7 +37,7 @@
         "most appends in a second: {most:?}, in all {:?}",
         counts.last()
     );
-    assert!(most.is_some_and(|most| most <= MOST_APPENDS));
+    assert!(most.is_some_and(|most| most <= MAX_APPENDS_PER_S));
     assert_eq!(cluster.unserved().count(), 0);
     cluster.checker.assert_clean();
 }
--- a/crates/core/tests/ownership/support/checker.rs
+++ b/crates/core/tests/ownership/support/checker.rs
@@ -14,7 +14,7 @@
     /// Times at which two nodes could have sent work of one slice.
     pub double_owners: Vec<String>,
     /// Grants whose fence was not above every earlier one of the slice.
-    pub fallen_fences: Vec<String>,
+    pub stale_fences: Vec<String>,
     pub grants: u64,
     highest: BTreeMap<SliceId, Fence>,
 }
@@ -22,7 +22,7 @@
 impl Checker {
     /// Compares one node's leases with those of all others. Ownership begins only with a published
     /// table or at the end of a pause, so it is enough to look then.
-    pub fn look(&mut self, now: u64, nodes: &[FakeNode], at: usize) {
+    pub fn check_node(&mut self, now: u64, nodes: &[FakeNode], at: usize) {
         let node = &nodes[at];
         if !node.is_running(now) {
             return;
@@ -53,11 +53,11 @@
     }
 
     /// Takes a grant that a backend server accepted.
-    pub fn grant(&mut self, slice: &SliceId, fence: Fence) {
+    pub fn record_grant(&mut self, slice: &SliceId, fence: Fence) {
         self.grants += 1;
         let highest = self.highest.entry(slice.clone()).or_default();
         if *highest >= fence {
-            self.fallen_fences
+            self.stale_fences
                 .push(format!("{slice}: {fence} after {highest}"));
         }
         *highest = fence.max(*highest);
@@ -65,6 +65,6 @@
 
     pub fn assert_clean(&self) {
         assert_eq!(self.double_owners, Vec::<String>::new());
-        assert_eq!(self.fallen_fences, Vec::<String>::new());
+        assert_eq!(self.stale_fences, Vec::<String>::new());
     }
 }
--- a/crates/core/tests/ownership/support/cluster.rs
+++ b/crates/core/tests/ownership/support/cluster.rs
@@ -18,7 +18,7 @@
 use super::Faults;
 use super::Layout;
 
-pub const MILLISECOND: u64 = 1_000_000;
+pub const NANOS_PER_MS: u64 = 1_000_000;
 
 /// Runs nodes against fakes in virtual time; the same seed gives the same run.
 pub struct Cluster {
@@ -40,7 +40,7 @@
     pub(super) slices: Vec<SliceId>,
     pub(super) rng: ChaCha8Rng,
     pub(super) queue: BTreeMap<Reverse<(u64, u64)>, (usize, u64, Delivery)>,
-    pub(super) order: u64,
+    pub(super) sequence: u64,
 }
 
 impl Cluster {
@@ -67,12 +67,12 @@
             measures_bytes: false,
             rng,
             queue: BTreeMap::new(),
-            order: 0,
+            sequence: 0,
         }
     }
 
     /// Starts every node under the given rules and runs until all slices are owned.
-    pub fn started_under(rules: SafetyRules, seed: u64, layout: Layout) -> Self {
+    pub fn started_with(rules: SafetyRules, seed: u64, layout: Layout) -> Self {
         let mut cluster = Self::new(seed, layout);
         cluster.rules = rules;
         for node in 0..cluster.nodes.len() {
@@ -84,20 +84,20 @@
 
     /// Starts every node within a few milliseconds and runs until all slices are owned.
     pub fn started(seed: u64, layout: Layout) -> Self {
-        Self::started_under(SafetyRules::default(), seed, layout)
+        Self::started_with(SafetyRules::default(), seed, layout)
     }
 
     /// Runs for a span of virtual time.
     pub fn run(&mut self, span_ms: u64) {
-        let end = self.now + span_ms * MILLISECOND;
+        let end = self.now + span_ms * NANOS_PER_MS;
         while let Some(entry) = self.queue.last_entry() {
             let Reverse((due, _)) = *entry.key();
             if due > end {
                 break;
             }
-            let (at, life, delivery) = entry.remove();
+            let (at, incarnation, delivery) = entry.remove();
             self.now = due;
-            self.deliver(at, life, delivery);
+            self.deliver(at, incarnation, delivery);
         }
         self.now = end;
     }
--- a/crates/core/tests/ownership/support/cluster_faults.rs
+++ b/crates/core/tests/ownership/support/cluster_faults.rs
@@ -14,9 +14,9 @@
 use super::Delivery;
 use super::FakeNode;
 use super::Faults;
-use super::cluster::MILLISECOND;
+use super::cluster::NANOS_PER_MS;
 
-const TICK: u64 = 40 * MILLISECOND;
+const TICK_NS: u64 = 40 * NANOS_PER_MS;
 
 impl Cluster {
     /// Starts a new life of a node.
@@ -25,7 +25,7 @@
         node.incarnation += 1;
         node.finished = false;
         node.paused_until = 0;
-        node.held.clear();
+        node.deferred.clear();
         node.next_offset = 0;
         node.leases = Default::default();
         node.routing = Default::default();
@@ -35,10 +35,10 @@
         config.peers = (0..self.layout.nodes()).map(FakeNode::address).collect();
         node.machine = Some(Ownership::open(config));
         self.step(at, OwnershipEvent::IntentChanged(self.layout.in_force()));
-        let phase = self.rng.random_range(0..TICK);
-        self.plan(phase, at, Delivery::Tick);
-        self.plan(phase / 2, at, Delivery::Poll);
-        self.plan(phase / 3, at, Delivery::Announce);
+        let phase = self.rng.random_range(0..TICK_NS);
+        self.schedule(phase, at, Delivery::Tick);
+        self.schedule(phase / 2, at, Delivery::Poll);
+        self.schedule(phase / 3, at, Delivery::Announce);
     }
 
     /// Ends a node's life without a word.
@@ -49,9 +49,9 @@
 
     /// Stops a node, its traffic threads with it, for a while.
     pub fn pause(&mut self, at: usize, span_ms: u64) {
-        let until = self.now + span_ms * MILLISECOND;
+        let until = self.now + span_ms * NANOS_PER_MS;
         self.nodes[at].paused_until = self.nodes[at].paused_until.max(until);
-        self.plan(span_ms * MILLISECOND, at, Delivery::Thaw);
+        self.schedule(span_ms * NANOS_PER_MS, at, Delivery::Resume);
     }
 
     /// Cuts or heals every message between two groups.
@@ -76,7 +76,7 @@
     }
 
     /// Silences the backend server beside a node, or lets it come back.
-    pub fn lose_server(&mut self, at: usize) {
+    pub fn toggle_server(&mut self, at: usize) {
         self.nodes[at].has_server = !self.nodes[at].has_server;
         if !self.nodes[at].has_server {
             self.step(at, OwnershipEvent::ServerLost);
@@ -110,7 +110,7 @@
     }
 
     /// Ends every fault and starts what is down.
-    pub fn mend(&mut self) {
+    pub fn repair(&mut self) {
         self.faults = Faults::none();
         self.cuts.clear();
         self.log.down = false;
--- a/crates/core/tests/ownership/support/cluster_network.rs
+++ b/crates/core/tests/ownership/support/cluster_network.rs
@@ -19,41 +19,41 @@
 use super::Delivery;
 use super::FakeNode;
 use super::Layout;
-use super::cluster::MILLISECOND;
+use super::cluster::NANOS_PER_MS;
 
-const TICK: u64 = 40 * MILLISECOND;
-const POLL: u64 = 50 * MILLISECOND;
-const ANNOUNCE: u64 = 500 * MILLISECOND;
+const TICK_NS: u64 = 40 * NANOS_PER_MS;
+const POLL_NS: u64 = 50 * NANOS_PER_MS;
+const ANNOUNCE_NS: u64 = 500 * NANOS_PER_MS;
 
 impl Cluster {
-    pub(super) fn plan(&mut self, after: u64, at: usize, delivery: Delivery) {
-        self.order += 1;
-        let key = Reverse((self.now + after, self.order));
-        let life = self.nodes[at].incarnation;
-        self.queue.insert(key, (at, life, delivery));
+    pub(super) fn schedule(&mut self, after: u64, at: usize, delivery: Delivery) {
+        self.sequence += 1;
+        let key = Reverse((self.now + after, self.sequence));
+        let incarnation = self.nodes[at].incarnation;
+        self.queue.insert(key, (at, incarnation, delivery));
     }
 
-    pub(super) fn deliver(&mut self, at: usize, life: u64, delivery: Delivery) {
+    pub(super) fn deliver(&mut self, at: usize, incarnation: u64, delivery: Delivery) {
         if let Delivery::Appending { id, data } = delivery {
-            self.append(at, life, id, data);
+            self.append(at, incarnation, id, data);
             return;
         }
         let node = &mut self.nodes[at];
         let is_message = matches!(delivery, Delivery::Message { .. });
-        if node.machine.is_none() || (node.incarnation != life && !is_message) {
+        if node.machine.is_none() || (node.incarnation != incarnation && !is_message) {
             return;
         }
         if node.paused_until > self.now {
-            if !matches!(delivery, Delivery::Thaw) {
-                node.held.push_back(delivery);
+            if !matches!(delivery, Delivery::Resume) {
+                node.deferred.push_back(delivery);
             }
             return;
         }
-        if matches!(delivery, Delivery::Thaw) {
-            self.checker.look(self.now, &self.nodes, at);
-            let held = std::mem::take(&mut self.nodes[at].held);
-            for delivery in held {
-                self.deliver(at, life, delivery);
+        if matches!(delivery, Delivery::Resume) {
+            self.checker.check_node(self.now, &self.nodes, at);
+            let deferred = std::mem::take(&mut self.nodes[at].deferred);
+            for delivery in deferred {
+                self.deliver(at, incarnation, delivery);
             }
             return;
         }
@@ -63,15 +63,15 @@
     pub(super) fn deliver_awake(&mut self, at: usize, delivery: Delivery) {
         let event = match delivery {
             Delivery::Tick => {
-                self.plan(TICK, at, Delivery::Tick);
+                self.schedule(TICK_NS, at, Delivery::Tick);
                 OwnershipEvent::Tick
             }
             Delivery::Poll => {
-                self.plan(POLL, at, Delivery::Poll);
+                self.schedule(POLL_NS, at, Delivery::Poll);
                 self.poll(at)
             }
             Delivery::Announce => {
-                self.plan(ANNOUNCE, at, Delivery::Announce);
+                self.schedule(ANNOUNCE_NS, at, Delivery::Announce);
                 if !self.nodes[at].has_server {
                     return;
                 }
@@ -83,7 +83,7 @@
             },
             Delivery::Appended { id, outcome } => OwnershipEvent::AppendFinished { id, outcome },
             Delivery::Granted { slice, fence } => {
-                self.checker.grant(&slice, fence);
+                self.checker.record_grant(&slice, fence);
                 let outcome = GrantOutcome::Taken;
                 OwnershipEvent::GrantAnswered {
                     slice,
@@ -92,7 +92,7 @@
                 }
             }
             Delivery::Drained { slice, fence } => OwnershipEvent::SliceDrained { slice, fence },
-            Delivery::Thaw | Delivery::Appending { .. } => return,
+            Delivery::Resume | Delivery::Appending { .. } => return,
         };
         self.step(at, event);
     }
@@ -133,7 +133,7 @@
     pub(super) fn append(
         &mut self,
         at: usize,
-        life: u64,
+        incarnation: u64,
         id: quetzalrack_core::ids::RecordId,
         data: Vec<u8>,
     ) {
@@ -144,8 +144,8 @@
                 outcome = AppendOutcome::Unknown;
             }
         }
-        if self.nodes[at].incarnation == life {
-            self.plan(2 * MILLISECOND, at, Delivery::Appended { id, outcome });
+        if self.nodes[at].incarnation == incarnation {
+            self.schedule(2 * NANOS_PER_MS, at, Delivery::Appended { id, outcome });
         }
     }
 
@@ -163,24 +163,24 @@
     pub(super) fn perform(&mut self, at: usize, action: OwnershipAction) {
         match action {
             OwnershipAction::Append { id, data } => {
-                self.plan(2 * MILLISECOND, at, Delivery::Appending { id, data });
+                self.schedule(2 * NANOS_PER_MS, at, Delivery::Appending { id, data });
             }
             OwnershipAction::Send { to, message } => {
                 let to = usize::from(to.port()) - 10_000;
                 self.transmit(at, to, message);
             }
             OwnershipAction::GrantServer { slice, fence, .. } => {
-                let delay = self.rng.random_range(1..3) * MILLISECOND;
-                self.plan(delay, at, Delivery::Granted { slice, fence });
+                let delay = self.rng.random_range(1..3) * NANOS_PER_MS;
+                self.schedule(delay, at, Delivery::Granted { slice, fence });
             }
             OwnershipAction::DrainSlice { slice, fence, .. } => {
-                let delay = self.rng.random_range(5..30) * MILLISECOND;
-                self.plan(delay, at, Delivery::Drained { slice, fence });
+                let delay = self.rng.random_range(5..30) * NANOS_PER_MS;
+                self.schedule(delay, at, Delivery::Drained { slice, fence });
             }
             OwnershipAction::ForgetSlice { .. } => {}
             OwnershipAction::PublishLeases(leases) => {
                 self.nodes[at].leases = leases;
-                self.checker.look(self.now, &self.nodes, at);
+                self.checker.check_node(self.now, &self.nodes, at);
             }
             OwnershipAction::PublishRouting(routing) => self.nodes[at].routing = routing,
             OwnershipAction::Explain(happening) => self.history.push((self.now, at, happening)),
@@ -202,7 +202,7 @@
         if self.cuts.contains(&(from, to)) || self.chance(self.faults.lost) {
             return;
         }
-        let copies = 1 + u32::from(self.chance(self.faults.doubled));
+        let copies = 1 + u32::from(self.chance(self.faults.duplicated));
         for _ in 0..copies {
             let mut delay = self.rng.random_range(1..=self.faults.delay_us);
             delay += self.slow.get(&(from, to)).copied().unwrap_or(0);
@@ -212,7 +212,7 @@
             let message = Box::new(message.clone());
             let delivery = Delivery::Message { from, message };
             let delay = Duration::from_micros(delay).as_nanos() as u64;
-            self.plan(delay, to, delivery);
+            self.schedule(delay, to, delivery);
         }
     }
 
--- a/crates/core/tests/ownership/support/cluster_view.rs
+++ b/crates/core/tests/ownership/support/cluster_view.rs
@@ -13,14 +13,14 @@
 use super::Cluster;
 use super::Delivery;
 use super::FakeNode;
-use super::cluster::MILLISECOND;
+use super::cluster::NANOS_PER_MS;
 
 impl Cluster {
     /// Runs until every slice has a holder, and returns how long that took in milliseconds.
     pub fn run_until_served(&mut self, limit_ms: u64) -> u64 {
         let begin = self.now;
         while self.unserved().next().is_some() {
-            let spent = (self.now - begin) / MILLISECOND;
+            let spent = (self.now - begin) / NANOS_PER_MS;
             assert!(
                 spent < limit_ms,
                 "still unserved: {:?}",
@@ -28,7 +28,7 @@
             );
             self.run(5);
         }
-        (self.now - begin) / MILLISECOND
+        (self.now - begin) / NANOS_PER_MS
     }
 
     /// Runs for a span and returns the longest time that each slice had no holder, in
@@ -95,7 +95,7 @@
     }
 
     /// Tells whether an answer to a node's probe is on its way.
-    pub fn is_echo_underway(&self, to: usize) -> bool {
+    pub fn is_echo_in_flight(&self, to: usize) -> bool {
         self.queue.values().any(|(at, _, delivery)| {
             let Delivery::Message { message, .. } = delivery else {
                 return false;
@@ -120,7 +120,7 @@
     }
 
     /// Returns the controller that a node adopted last.
-    pub fn followed_by(&self, node: usize) -> usize {
+    pub fn followed_controller(&self, node: usize) -> usize {
         let adopted = self
             .history
             .iter()
@@ -134,7 +134,7 @@
     }
 
     /// Returns the deputies of the term in force, in order, the controller first.
-    pub fn line(&self) -> Vec<usize> {
+    pub fn controllers(&self) -> Vec<usize> {
         let claims = self.log.entries.iter().filter_map(|entry| {
             let record: ControlRecord = serde_json::from_slice(&entry.data).unwrap();
             match record.body {
--- a/crates/core/tests/ownership/support/delivery.rs
+++ b/crates/core/tests/ownership/support/delivery.rs
@@ -12,7 +12,7 @@
     Tick,
     Poll,
     Announce,
-    Thaw,
+    Resume,
     Message {
         from: usize,
         message: Box<PeerMessage>,
--- a/crates/core/tests/ownership/support/fake_node.rs
+++ b/crates/core/tests/ownership/support/fake_node.rs
@@ -22,7 +22,7 @@
     pub incarnation: u64,
     pub paused_until: u64,
     /// What came while the node was paused.
-    pub held: VecDeque<Delivery>,
+    pub deferred: VecDeque<Delivery>,
     pub clock_offset: u64,
     /// How much faster than true time the clock runs, in parts per million.
     pub drift_ppm: i64,
@@ -42,7 +42,7 @@
             machine: None,
             incarnation: 0,
             paused_until: 0,
-            held: VecDeque::new(),
+            deferred: VecDeque::new(),
             clock_offset,
             drift_ppm,
             next_offset: 0,
--- a/crates/core/tests/ownership/support/faults.rs
+++ b/crates/core/tests/ownership/support/faults.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     pub lost: u32,
-    pub doubled: u32,
+    pub duplicated: u32,
     pub late: u32,
     pub delay_us: u64,
     pub late_us: u64,
@@ -17,7 +17,7 @@
     pub fn none() -> Self {
         Self {
             lost: 0,
-            doubled: 0,
+            duplicated: 0,
             late: 0,
             delay_us: 500,
             late_us: 0,
--- a/crates/core/tests/ownership/support/schedule.rs
+++ b/crates/core/tests/ownership/support/schedule.rs
@@ -12,14 +12,14 @@
 /// How many nodes, and so voters, a schedule has.
 const NODES: usize = 5;
 /// The longest delay of a late message: three lease times.
-const LATEST_US: u64 = 3_600_000;
+const MAX_LATE_US: u64 = 3_600_000;
 
 /// Is a run of a small cell under random faults.
 #[derive(Clone, Debug)]
 pub struct Schedule {
     pub seed: u64,
     pub lost: u32,
-    pub doubled: u32,
+    pub duplicated: u32,
     pub late: u32,
     pub steps: Vec<Step>,
 }
@@ -28,10 +28,10 @@
     pub fn strategy() -> impl Strategy<Value = Self> {
         let steps = prop::collection::vec(Step::strategy(NODES), 8..24);
         (any::<u64>(), 0u32..25, 0u32..25, 0u32..30, steps).prop_map(
-            |(seed, lost, doubled, late, steps)| Self {
+            |(seed, lost, duplicated, late, steps)| Self {
                 seed,
                 lost,
-                doubled,
+                duplicated,
                 late,
                 steps,
             },
@@ -44,10 +44,10 @@
         cluster.rules = rules;
         cluster.faults = Faults {
             lost: self.lost,
-            doubled: self.doubled,
+            duplicated: self.duplicated,
             late: self.late,
             delay_us: 20_000,
-            late_us: LATEST_US,
+            late_us: MAX_LATE_US,
             answer_lost: 20,
         };
         for node in 0..NODES {
--- a/crates/core/tests/ownership/support/step.rs
+++ b/crates/core/tests/ownership/support/step.rs
@@ -13,13 +13,13 @@
     Kill { node: usize },
     CutOneWay { from: usize, to: usize },
     Isolate { node: usize },
-    Halve { mask: u32 },
+    Partition { mask: u32 },
     Heal,
     LogDown,
     LogUp,
     ZoneOut { zone: usize },
     ZonesIn,
-    LoseServer { node: usize },
+    ToggleServer { node: usize },
     ShutDown { node: usize },
 }
 
@@ -34,13 +34,13 @@
             1 => node.clone().prop_map(|node| Self::Kill { node }),
             3 => (node.clone(), node.clone()).prop_map(|(from, to)| Self::CutOneWay { from, to }),
             2 => node.clone().prop_map(|node| Self::Isolate { node }),
-            1 => (1u32..31).prop_map(|mask| Self::Halve { mask }),
+            1 => (1u32..31).prop_map(|mask| Self::Partition { mask }),
             3 => Just(Self::Heal),
             1 => Just(Self::LogDown),
             1 => Just(Self::LogUp),
             1 => node.clone().prop_map(|zone| Self::ZoneOut { zone }),
             1 => Just(Self::ZonesIn),
-            1 => node.clone().prop_map(|node| Self::LoseServer { node }),
+            1 => node.clone().prop_map(|node| Self::ToggleServer { node }),
             1 => node.prop_map(|node| Self::ShutDown { node }),
         ]
     }
@@ -58,7 +58,7 @@
             Self::Kill { node } => cluster.kill(*node),
             Self::CutOneWay { from, to } => cluster.cut(&[*from], &[*to], false),
             Self::Isolate { node } => cluster.cut(&[*node], &all, true),
-            Self::Halve { mask } => {
+            Self::Partition { mask } => {
                 let (left, right): (Vec<_>, Vec<_>) =
                     all.into_iter().partition(|node| mask & (1 << node) != 0);
                 cluster.cut(&left, &right, true);
@@ -74,7 +74,7 @@
                 cluster.layout.zones_out.clear();
                 cluster.put_in_force();
             }
-            Self::LoseServer { node } => cluster.lose_server(*node),
+            Self::ToggleServer { node } => cluster.toggle_server(*node),
             Self::ShutDown { node } => cluster.shut_down(*node),
         }
     }
