--- a/crates/rack/tests/settings.rs
+++ b/crates/rack/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What happens with settings that can't be used.
+//! Invalid settings and the messages about them.
 #![allow(clippy::unwrap_used, clippy::panic)]
 
 #[allow(dead_code, reason = "the configuration is for other tests")]
@@ -26,9 +26,9 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-/// Nothing names a settings file: the process ends at once and says which variable is meant.
+/// No settings file is given: the process exits at once and names the environment variable to set.
 #[test]
-fn not_named() {
+fn no_settings_file() {
     let output = run(None);
     assert_eq!(output.status.code(), Some(2));
     assert!(
@@ -46,7 +46,7 @@
     assert!(message(&output).contains("zone"), "{}", message(&output));
 }
 
-/// A field has another type: the message names it and what was expected.
+/// A field has the wrong type: the message gives the field and the expected type.
 #[test]
 fn wrong_type() {
     let output = run(Some("[self]\nnode_name = 7\n"));
@@ -58,13 +58,13 @@
     );
 }
 
-/// Figures with which a node would run wild, by heartbeats without a pause or a budget below zero, are
-/// refused by name.
+/// Guards against values that make a node misbehave, such as heartbeats without an interval or a negative
+/// budget: they are rejected, and the message names the field.
 #[test]
-fn impossible_figures() {
+fn invalid_values() {
     let ports = [1, 2, 3, 4].map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
-    let sound = texts::settings("127.0.0.1", 0, "plain", ports[0], ports, 1_000.0);
-    assert!(run(Some(&sound)).status.success());
+    let valid = texts::settings("127.0.0.1", 0, "plain", ports[0], ports, 1_000.0);
+    assert!(run(Some(&valid)).status.success());
     for (from, to, field) in [
         (
             "heartbeat = \"300ms\"",
@@ -79,27 +79,27 @@
         ("cold_slack = 5", "cold_slack = nan", "cold_slack"),
         ("[7620, 7635]", "[7635, 7620]", "internal_ports"),
     ] {
-        let output = run(Some(&sound.replace(from, to)));
+        let output = run(Some(&valid.replace(from, to)));
         assert_eq!(output.status.code(), Some(2), "{to}");
         assert!(message(&output).contains(field), "{}", message(&output));
     }
 }
 
-/// Without a known way of granting keys no key could ever be served; the message names the field and
-/// what it may say.
+/// Without a known mode of granting keys no key could be served; the message names the field and its
+/// possible values.
 #[test]
 fn unknown_granting() {
     let ports = [1, 2, 3, 4].map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
-    let sound = texts::settings("127.0.0.1", 0, "plain", ports[0], ports, 1_000.0);
+    let valid = texts::settings("127.0.0.1", 0, "plain", ports[0], ports, 1_000.0);
     let line = "grants = \"heartbeat\"";
     assert!(
-        run(Some(&sound.replace(line, "grants = \"request\"")))
+        run(Some(&valid.replace(line, "grants = \"request\"")))
             .status
             .success()
     );
-    for (to, said) in [("", "grants"), ("grants = \"mail\"", "request")] {
-        let output = run(Some(&sound.replace(line, to)));
+    for (to, expected) in [("", "grants"), ("grants = \"mail\"", "request")] {
+        let output = run(Some(&valid.replace(line, to)));
         assert_eq!(output.status.code(), Some(2), "{to}");
-        assert!(message(&output).contains(said), "{}", message(&output));
+        assert!(message(&output).contains(expected), "{}", message(&output));
     }
 }
