--- a/crates/rack/tests/system/call_grants.rs
+++ b/crates/rack/tests/system/call_grants.rs
@@ -1,4 +1,4 @@
-//! Servers that are granted keys by call, with real processes.
+//! Backend servers that are granted keys by call.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 const START: Duration = Duration::from_secs(30);
 const SERVICES: [&str; 4] = ["keyed", "keyed", "keyed", "plain"];
-/// Keys of every server are among these.
+/// Sample of the key space with at least one key of every server.
 const KEYS: [u16; 6] = [0, 13_000, 26_000, 39_000, 52_000, 65_535];
 
 async fn started() -> World {
@@ -18,20 +18,20 @@
     world
 }
 
-/// Asks for all keys; returns the statuses that are not 200.
+/// Sends a request for each key of the sample; returns the statuses other than 200.
 async fn failures(world: &World, name: &str) -> Vec<Option<StatusCode>> {
-    let asked = KEYS.iter().enumerate().map(|(place, key)| async move {
+    let requests = KEYS.iter().enumerate().map(|(place, key)| async move {
         let id = format!("{name}-{key}");
         let host = place % world.hosts.len();
         world.ask(host, &id, "/keyed/1", Some(*key)).await.status
     });
-    let all = futures::future::join_all(asked).await;
+    let all = futures::future::join_all(requests).await;
     all.into_iter()
         .filter(|status| *status != Some(StatusCode::OK))
         .collect()
 }
 
-/// Nothing goes wrong: every key is served, for longer than a grant lasts.
+/// Without faults every key is served, for longer than a grant lasts.
 #[tokio::test(flavor = "multi_thread")]
 async fn renewed() {
     let world = started().await;
@@ -45,8 +45,8 @@
     assert_eq!(world.truth.all_broken(), Vec::<String>::new());
 }
 
-/// A server says that it leaves while it works. Its node takes its keys back by calls, and the others
-/// have them soon; no request fails on the way.
+/// Guards against failed requests while a busy server drains: its node releases the server's keys by
+/// calls, and other servers are granted them.
 #[tokio::test(flavor = "multi_thread")]
 async fn drained() {
     let world = started().await;
@@ -66,8 +66,8 @@
     assert_eq!(world.truth.all_broken(), Vec::<String>::new());
 }
 
-/// A server obeys its calls and does not answer. Its node can count on nothing and gives up its keys;
-/// nobody else gets them before the server must have lost them.
+/// Guards against two holders of a key: a server carries out its calls without a response, so its node
+/// gives up the keys. No other server gets them before the grants of the first have expired.
 #[tokio::test(flavor = "multi_thread")]
 async fn unanswered() {
     let world = started().await;
@@ -79,8 +79,8 @@
     assert_eq!(world.truth.all_broken(), Vec::<String>::new());
 }
 
-/// Calls are obeyed three seconds late, when the server has said that it leaves and its keys are with
-/// others: what a late call grants has run out by then.
+/// Guards against two holders of a key: calls are carried out three seconds late, when the server drains
+/// and others hold its keys. What a late call grants has expired by then.
 #[tokio::test(flavor = "multi_thread")]
 async fn late() {
     let world = started().await;
@@ -95,10 +95,10 @@
     assert_eq!(world.truth.all_broken(), Vec::<String>::new());
 }
 
-/// Another life of a server starts under the same id. It holds nothing of before and is granted keys with
-/// higher tokens.
+/// A new incarnation of a server starts under the same id. It holds no earlier grants and is granted keys
+/// with higher tokens.
 #[tokio::test(flavor = "multi_thread")]
-async fn reborn() {
+async fn restarted_server() {
     let world = started().await;
     world.hosts[2].server.reborn("server-2");
     tokio::time::sleep(Duration::from_secs(1)).await;
@@ -107,8 +107,8 @@
     assert_eq!(world.truth.all_broken(), Vec::<String>::new());
 }
 
-/// The process beside a server is killed and starts again: the server keeps its keys, or has them again
-/// soon, and no other gets them meanwhile.
+/// The node beside a server is killed and restarted: the server keeps its keys or soon regains them, and
+/// no other server gets them meanwhile.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed() {
     let mut world = started().await;
--- a/crates/rack/tests/system/cold_servers.rs
+++ b/crates/rack/tests/system/cold_servers.rs
@@ -1,4 +1,4 @@
-//! Servers that have just started and bear little.
+//! Servers that have just started and accept few requests.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,17 +7,18 @@
 
 const START: Duration = Duration::from_secs(30);
 const SERVICES: [&str; 4] = ["keyed", "keyed", "keyed", "plain"];
-/// The place of the only server of its service.
+/// Index of the host with the only server of its service.
 const PLAIN: usize = 3;
-/// What a cold server bears in a second: by its document 25, by the bounds half more and 5.
-const BEARABLE: usize = 42;
+/// Most requests that a cold server gets in a second: 25 by its document, plus half as many and 5 by the
+/// bounds.
+const MAX_COLD_RATE: usize = 42;
 
-/// Sends requests for the only plain server from all other hosts for a while, many at a time.
+/// Sends concurrent requests for the only plain server through all other hosts for `time`.
 async fn flood(world: &World, name: &str, time: Duration) {
-    let until = Instant::now() + time;
+    let deadline = Instant::now() + time;
     let senders = (0..60).map(|sender| async move {
         let mut round = 0;
-        while Instant::now() < until {
+        while Instant::now() < deadline {
             let id = format!("{name}-{sender}-{round}");
             world.ask(sender % PLAIN, &id, "/plain/1", None).await;
             round += 1;
@@ -27,8 +28,8 @@
     futures::future::join_all(senders).await;
 }
 
-/// Guards against a flood of a cold server whose node has started while the store is away and knows no
-/// document, and so no figure for what the server bears.
+/// Guards against an overload of a cold server: its node has started while the store is unreachable, so it
+/// has no document and no cold rate for the server.
 #[tokio::test(flavor = "multi_thread")]
 async fn without_document() {
     let mut world = World::start(&SERVICES).await;
@@ -41,30 +42,30 @@
     server.set_cold(Duration::from_secs(20));
     world.start_node(PLAIN);
     flood(&world, "after", Duration::from_secs(4)).await;
-    let most = world.hosts[PLAIN].server.busiest_second();
-    assert!(most <= BEARABLE, "{most} requests in a second");
+    let busiest = world.hosts[PLAIN].server.busiest_second();
+    assert!(busiest <= MAX_COLD_RATE, "{busiest} requests in a second");
     assert!(
-        most > 0,
-        "the server got none although others know what it bears"
+        busiest > 0,
+        "the server got no requests although other nodes know its cold rate"
     );
 }
 
-/// Guards against a flood of a server's next life, under the same id, before its first heartbeat is heard:
-/// its node takes it for the one before, which was warm.
+/// Guards against an overload of a server's next incarnation, under the same id, before its first
+/// heartbeat is received: its node takes it for the previous incarnation, which was warm.
 #[tokio::test(flavor = "multi_thread")]
-async fn next_life() {
+async fn next_incarnation() {
     let world = World::start(&SERVICES).await;
     world.settled(START).await;
     let server = &world.hosts[PLAIN].server;
     let (_, ()) = tokio::join!(flood(&world, "on", Duration::from_secs(5)), async {
         tokio::time::sleep(Duration::from_millis(500)).await;
         server.die();
-        // Not long enough for its node to take it for gone.
+        // Too short for its node to consider it unreachable.
         tokio::time::sleep(Duration::from_millis(250)).await;
         server.reborn("server-3");
         server.set_cold(Duration::from_secs(20));
     });
-    let most = server.busiest_second();
-    assert!(most <= BEARABLE, "{most} requests in a second");
-    assert!(most > 0, "the next life got no requests");
+    let busiest = server.busiest_second();
+    assert!(busiest <= MAX_COLD_RATE, "{busiest} requests in a second");
+    assert!(busiest > 0, "the next incarnation got no requests");
 }
--- a/crates/rack/tests/system/explained.rs
+++ b/crates/rack/tests/system/explained.rs
@@ -1,4 +1,5 @@
-//! Three kinds of failed request, each followed from its id to its cause as docs/OPERATIONS.md says.
+//! Three kinds of failed request, each traced in the log from its id to its cause as docs/OPERATIONS.md
+//! describes.
 
 use std::time::Duration;
 
@@ -9,7 +10,7 @@
 
 const START: Duration = Duration::from_secs(30);
 
-/// Returns the lines of all hosts that name a request.
+/// Returns the log lines of all hosts that contain a request's id.
 fn lines(world: &World, id: &str) -> Vec<Value> {
     let hosts = 0..world.hosts.len();
     hosts
@@ -32,21 +33,21 @@
     panic!("no {event} for {id}: {:?}", lines(world, id));
 }
 
-/// Everything is busy for a second, so a request is refused at once as not run, and comes with a
-/// time. Its lines say why, and how many ran and waited.
+/// The only server's slots are occupied for about a second, so a request is refused as not run, with the time
+/// after which to retry. Its log lines give the reason and the numbers of running and waiting requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn refused() {
     let world = World::start(&["plain", "keyed"]).await;
     world.settled(START).await;
     world.hosts[0].server.set_work(Duration::from_millis(900));
-    let asks = (0..60).map(|number| {
+    let requests = (0..60).map(|number| {
         let (world, id) = (&world, format!("explain-refused-{number}"));
         async move { (world.ask(0, &id, "/plain/1", None).await, id) }
     });
-    let got = futures::future::join_all(asks).await;
-    let (refused, id) = got
+    let responses = futures::future::join_all(requests).await;
+    let (refused, id) = responses
         .iter()
-        .find(|(got, _)| got.status == Some(StatusCode::SERVICE_UNAVAILABLE))
+        .find(|(response, _)| response.status == Some(StatusCode::SERVICE_UNAVAILABLE))
         .unwrap();
     assert!(
         refused
@@ -70,33 +71,33 @@
     );
 }
 
-/// A server runs a request and its answer is lost: the caller gets 502, and the lines say that it
-/// was sent, where it was lost, and that it may not be sent again.
+/// A server runs a request and its response is lost: the client gets 502, and the log lines say that the
+/// request was sent, where it was lost, and that it may not be sent again.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost() {
     let world = World::start(&["plain", "keyed"]).await;
     world.settled(START).await;
     world.hosts[0].server.lose_answers(true);
-    let got = world.ask(0, "explain-lost", "/once/1", None).await;
-    assert_eq!(got.status, Some(StatusCode::BAD_GATEWAY));
+    let response = world.ask(0, "explain-lost", "/once/1", None).await;
+    assert_eq!(response.status, Some(StatusCode::BAD_GATEWAY));
     let line = wait_for_line(&world, "explain-lost", "not_served").await;
     assert_eq!((&line["why"], &line["sent"]), (&"broken".into(), &1.into()));
     let lost = wait_for_line(&world, "explain-lost", "egress_lost").await;
     assert_eq!(lost["repeatable"], false);
 }
 
-/// A key's only server has gone, so the key has no owner: the refusal names the versions of the
-/// table, and the leader's lines say who had the key.
+/// The only server that holds a key has failed, so the key has no owner: the refusal's log line has the
+/// versions of the table, and the leader's log lines name the previous owner.
 #[tokio::test(flavor = "multi_thread")]
 async fn moved_owner() {
     let world = World::start(&["plain", "keyed"]).await;
     world.settled(START).await;
     world.hosts[1].server.die();
     tokio::time::sleep(Duration::from_secs(6)).await;
-    let got = world
+    let response = world
         .ask(0, "explain-moved", "/keyed/1", Some(40_000))
         .await;
-    assert_eq!(got.status, Some(StatusCode::SERVICE_UNAVAILABLE));
+    assert_eq!(response.status, Some(StatusCode::SERVICE_UNAVAILABLE));
     let line = wait_for_line(&world, "explain-moved", "not_served").await;
     assert_eq!(line["why"], "not_owner");
     assert_eq!(line["key"], 40_000);
--- a/crates/rack/tests/system/faults.rs
+++ b/crates/rack/tests/system/faults.rs
@@ -1,4 +1,5 @@
-//! Processes are killed, the store goes away, servers leave; callers and servers say what they saw.
+//! Killed processes, store outages, draining servers, lost responses and disconnecting clients; clients and
+//! servers record what they observe.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,13 +8,14 @@
 
 use super::support::World;
 
-/// How long a fleet may take to start, on a busy machine.
+/// Time limit for the start of a fleet, on a busy machine.
 const START: Duration = Duration::from_secs(30);
 const SERVICES: [&str; 5] = ["keyed", "keyed", "keyed", "plain", "plain"];
 
-/// Any host takes any request: the owner of its key answers it, once, and hears where it began.
+/// Without faults every host accepts every request: the owner of its key runs it once and is shutdown the
+/// calling service by the node, whatever the client's own header says.
 #[tokio::test(flavor = "multi_thread")]
-async fn calm_path() {
+async fn without_faults() {
     let world = World::start(&SERVICES).await;
     world.settled(START).await;
     for place in 0..SERVICES.len() {
@@ -32,8 +34,8 @@
     assert_eq!(missing.status, Some(StatusCode::NOT_FOUND));
 }
 
-/// Every node in turn is killed and starts again, the leader's among them: each key is served again
-/// within five seconds of every loss.
+/// Every node in turn is killed and restarted, the leader too: each key is served again within five
+/// seconds of every loss.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_nodes() {
     let mut world = World::start(&SERVICES).await;
@@ -50,10 +52,10 @@
     }
 }
 
-/// The store is away for all and the node that leads shuts down meanwhile: keys keep their owners,
-/// since the leader hands its leadership on.
+/// The leader shuts down while no node reaches the store: keys keep their owners, since the leader hands
+/// over its leadership.
 #[tokio::test(flavor = "multi_thread")]
-async fn leader_leaves_without_store() {
+async fn leader_shutdown_without_store() {
     let mut world = World::start(&SERVICES).await;
     world.settled(START).await;
     let leads = |place: &usize| !world.lines(*place, "event", "takeover_complete").is_empty();
@@ -68,29 +70,29 @@
     world.store.set_away(false);
 }
 
-/// A node is told to leave while it serves slow requests: it is not ready any more, finishes them,
-/// and ends within its time.
+/// A node receives SIGTERM while it serves slow requests: it reports that it is not ready, finishes the
+/// requests and exits within its grace period.
 #[tokio::test(flavor = "multi_thread")]
-async fn graceful_end() {
+async fn graceful_shutdown() {
     let mut world = World::start(&["plain", "plain", "keyed"]).await;
     world.settled(START).await;
     for host in &world.hosts {
         host.server.set_work(Duration::from_millis(700));
     }
-    let asked = async {
+    let requests = async {
         let asks = (0..8).map(|number| {
             let (world, id) = (&world, format!("slow-{number}"));
             async move { world.ask(0, &id, "/once/1", None).await.status }
         });
         futures::future::join_all(asks).await
     };
-    let told = async {
+    let shutdown = async {
         tokio::time::sleep(Duration::from_millis(200)).await;
         world.terminate_node(0);
         tokio::time::sleep(Duration::from_millis(100)).await;
         world.is_ready(0).await
     };
-    let (answers, ready) = tokio::join!(asked, told);
+    let (answers, ready) = tokio::join!(requests, shutdown);
     assert!(!ready);
     assert_eq!(answers, vec![Some(StatusCode::OK); 8]);
     assert!(world.ended(0, Duration::from_secs(6)).await);
@@ -125,8 +127,8 @@
     }
 }
 
-/// A server says that it leaves. Once that was acknowledged, nothing new reaches it after two
-/// seconds, and its keys are served elsewhere.
+/// A server drains: two seconds after the acknowledgement no new request reaches it, and other servers
+/// serve its keys.
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_server() {
     let world = World::start(&SERVICES).await;
@@ -151,8 +153,8 @@
     world.settled(Duration::from_secs(5)).await;
 }
 
-/// The servers run what they get and their answers are lost. Work that may run once only is not
-/// sent again and not promised to be not run; other work is sent a second time.
+/// Servers run requests and their responses are lost. A request that may run only once is neither sent
+/// again nor reported as not run; any other request is sent a second time.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answers() {
     let world = World::start(&["plain", "plain", "keyed"]).await;
@@ -169,12 +171,12 @@
     assert_eq!(runs("lost-plain"), 2);
 }
 
-/// A client sends three requests at once and leaves while the first is worked on. The HTTP library has
-/// read the others already, so it looks for nothing more on the connection. The second may run once
-/// only, so it has not been begun: it was sent on to a server although nobody waited for it. The first
-/// and the third were begun, and their servers went on working.
+/// Guards against work for a client that has disconnected. The client pipelines three requests and closes
+/// the connection during the first. The HTTP library has read the others already, so it does not notice
+/// the close by reading. The second request may run only once and has not started, so no server may get
+/// it; the servers must stop working on the first and the third, which have started.
 #[tokio::test(flavor = "multi_thread")]
-async fn client_leaves() {
+async fn client_disconnects() {
     let world = World::start(&["plain", "keyed"]).await;
     world.settled(START).await;
     world.hosts[0].server.set_work(Duration::from_millis(400));
@@ -194,11 +196,11 @@
     assert_eq!(server.finished("leaves-third"), 0);
 }
 
-/// A node is told to leave while its clients' requests wait in queues for longer than it has. The
-/// process ended in the middle of them, and the clients saw closed connections; now each gets an
-/// answer first.
+/// Guards against connections that are closed without a response: a node receives SIGTERM while requests
+/// of its clients wait in queues for longer than its grace period. Each must get a response before the
+/// process exits.
 #[tokio::test(flavor = "multi_thread")]
-async fn long_queue_at_the_end() {
+async fn shutdown_with_long_queue() {
     let mut world = World::start(&["plain", "plain", "keyed"]).await;
     world.settled(START).await;
     world.write_patient_config(3);
@@ -206,75 +208,76 @@
     for host in &world.hosts {
         host.server.set_work(Duration::from_secs(9));
     }
-    let asked = async {
+    let requests = async {
         let asks = (0..30).map(|number| {
             let (world, id) = (&world, format!("queued-{number}"));
             async move { world.ask_patiently(0, &id, "/plain/1").await }
         });
         futures::future::join_all(asks).await
     };
-    let told = async {
+    let shutdown = async {
         tokio::time::sleep(Duration::from_millis(500)).await;
         world.terminate_node(0);
     };
-    let (answers, ()) = tokio::join!(asked, told);
+    let (answers, ()) = tokio::join!(requests, shutdown);
     assert!(answers.iter().all(Option::is_some), "{answers:?}");
     assert!(world.ended(0, Duration::from_secs(2)).await);
 }
 
-/// A node is told to leave while long answers of its server wait for the host's narrow link. No
-/// request ran any more, so the process ended, and the answers were cut on their way to the node that
-/// had asked; its clients saw failures though their work was done.
+/// Guards against truncated responses: a node receives SIGTERM while large responses of its server wait for
+/// the host's narrow link. No request is running then, and if the process exits, the responses are cut off
+/// on their way to the requesting node and clients see failures although their requests have run.
 #[tokio::test(flavor = "multi_thread")]
-async fn narrow_link_at_the_end() {
-    const ANSWER: usize = 100_000;
+async fn shutdown_with_narrow_link() {
+    const RESPONSE_BYTES: usize = 100_000;
     let mut world = World::start_with_link(&["keyed", "plain"], 1.0).await;
     world.write_patient_config(3);
     tokio::time::sleep(Duration::from_secs(3)).await;
-    world.hosts[1].server.set_answer(ANSWER);
-    let asked = async {
+    world.hosts[1].server.set_answer(RESPONSE_BYTES);
+    let requests = async {
         let asks = (0..5).map(|number| {
             let (world, id) = (&world, format!("long-{number}"));
             async move { world.fetch_patiently(0, &id, "/plain/1").await }
         });
         futures::future::join_all(asks).await
     };
-    let told = async {
+    let shutdown = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         world.terminate_node(1);
     };
-    let (answers, ()) = tokio::join!(asked, told);
-    assert_eq!(answers, vec![Some(ANSWER); 5]);
+    let (answers, ()) = tokio::join!(requests, shutdown);
+    assert_eq!(answers, vec![Some(RESPONSE_BYTES); 5]);
     assert!(world.ended(1, Duration::from_secs(6)).await);
 }
 
-/// A client begins a request and sends no more of it. The HTTP library has one timer for a head and for
-/// the rest between two requests, so the connection was held for the longer of the two, fifteen seconds
-/// and not three. A client that rests between two requests may still take longer than a head.
+/// Guards against a connection that is held open for an incomplete request head. The HTTP library has a
+/// single timer for the head and for the idle time between requests, which would apply the longer limit,
+/// fifteen seconds instead of three. A client may still be idle between requests for longer than the limit
+/// of the head.
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_head() {
-    const WHOLE: &str = "GET /plain/1 HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: rests\r\nX-Deadline-Ms: 1500\r\n\r\n";
+    const REQUEST: &str = "GET /plain/1 HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: rests\r\nX-Deadline-Ms: 1500\r\n\r\n";
     let world = World::start(&["plain", "keyed"]).await;
     world.settled(START).await;
-    let rests = world.send_apart(0, WHOLE, Duration::from_millis(4_500), WHOLE);
+    let idle = world.send_apart(0, REQUEST, Duration::from_millis(4_500), REQUEST);
     let slow = async {
         let began = Instant::now();
-        let (start, _) = WHOLE.split_at(30);
+        let (start, _) = REQUEST.split_at(30);
         let answer = world.send_pieces(0, &[start], Duration::from_secs(8)).await;
         (answer, began.elapsed())
     };
-    let (rests, (answer, took)) = tokio::join!(rests, slow);
-    assert_eq!(rests.matches("done by").count(), 2, "{rests}");
+    let (idle, (answer, took)) = tokio::join!(idle, slow);
+    assert_eq!(idle.matches("done by").count(), 2, "{idle}");
     assert_eq!(answer, "");
     let header_time = Duration::from_secs(3)..Duration::from_secs(5);
     assert!(header_time.contains(&took), "{took:?}");
 }
 
-/// Many requests are refused before a server has seen them, here since their clients wait for a moment
-/// only, and then every answer is lost. Were the refused ones to pay for second attempts too, most of the
-/// others would run twice, and so would the calls that their runs make.
+/// Guards against refused requests that add to the retry budget. Many requests are refused before they
+/// reach a server, because of their short deadlines, and then every response is lost. If the refused ones
+/// counted, most of the others would run twice, and so would the calls that they make.
 #[tokio::test(flavor = "multi_thread")]
-async fn refused_requests_pay_nothing() {
+async fn refused_requests_add_no_budget() {
     let world = World::start(&["plain", "plain", "keyed"]).await;
     world.settled(START).await;
     let asks = (0..600).map(|number| {
@@ -295,7 +298,8 @@
     }
     let (ran, repeats) = world.truth.repeats();
     assert_eq!(ran - ran_before, 100);
-    // Nine in a hundred of what ran, and of the settling of the fleet, and the node's part of the slack.
+    // Nine in a hundred of the requests that ran, those of the fleet's start included, and the node's share
+    // of the slack.
     let allowed = (100 + ran_before) / 10 + 5;
     let repeats = repeats - repeats_before;
     assert!(
--- a/crates/rack/tests/system/full_queue.rs
+++ b/crates/rack/tests/system/full_queue.rs
@@ -1,4 +1,4 @@
-//! A node that is too busy to take connections.
+//! A node that is too busy to accept connections.
 
 use std::time::Duration;
 
@@ -9,26 +9,27 @@
 use super::support::World;
 
 const START: Duration = Duration::from_secs(30);
-/// How long the node stands still: its leader takes it for silent meanwhile, and others look whether it
-/// is there.
-const STILL: Duration = Duration::from_millis(2_100);
-/// How many connections fill the queue of a node that takes none.
-const QUEUE: usize = 1_100;
-/// How long a connection that is dropped takes at most to show that.
-const OPENED: Duration = Duration::from_millis(200);
+/// How long the node's process is stopped: long enough that its leader considers it unresponsive and
+/// other nodes probe it.
+const PAUSE: Duration = Duration::from_millis(2_100);
+/// How many connections fill the accept queue of a node that accepts none.
+const QUEUE_SIZE: usize = 1_100;
+/// Time after which a connection that is not open counts as dropped.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-async fn fill(world: &World, place: usize) -> Vec<TcpStream> {
+async fn fill_accept_queue(world: &World, place: usize) -> Vec<TcpStream> {
     let address = world.hosts[place].hops();
-    let opening = (0..QUEUE).map(|_| tokio::time::timeout(OPENED, TcpStream::connect(address)));
+    let opening =
+        (0..QUEUE_SIZE).map(|_| tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)));
     let opened = futures::future::join_all(opening).await;
     assert!(opened.iter().any(Result::is_err), "the queue is not full");
     opened.into_iter().flatten().flatten().collect()
 }
 
-/// Guards against a request that is given up while a server works on it: the node beside that server is busy
-/// for two seconds, and the queue of its connections is full.
+/// Guards against a request that is abandoned while a server works on it: the node beside that server is
+/// unresponsive for two seconds, and its accept queue is full.
 #[tokio::test(flavor = "multi_thread")]
-async fn answer_comes() {
+async fn request_completes() {
     let world = World::start(&["keyed", "plain", "plain"]).await;
     world.settled(START).await;
     world.write_patient_config(2);
@@ -38,16 +39,16 @@
     world.hosts[other].server.drain();
     world.hosts[busy].server.set_work(Duration::from_secs(4));
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let asked = world.ask_patiently(0, "long", "/plain/1");
-    let stands = async {
+    let request = world.ask_patiently(0, "long", "/plain/1");
+    let pause = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         world.hosts[busy].process().signal(Signal::STOP);
-        let queue = fill(&world, busy).await;
-        tokio::time::sleep(STILL - OPENED).await;
+        let queue = fill_accept_queue(&world, busy).await;
+        tokio::time::sleep(PAUSE - CONNECT_TIMEOUT).await;
         world.hosts[busy].process().signal(Signal::CONT);
         queue
     };
-    let (status, _queue) = tokio::join!(asked, stands);
+    let (status, _queue) = tokio::join!(request, pause);
     assert_eq!(status, Some(StatusCode::OK));
     assert_eq!(world.hosts[busy].server.runs("long"), 1);
 }
--- a/crates/rack/tests/system/ground_truth.rs
+++ b/crates/rack/tests/system/ground_truth.rs
@@ -1,25 +1,25 @@
-//! What the stand-ins notice of tokens.
+//! The check of fencing tokens in the stand-ins.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use super::support::Truth;
 
-/// Guards against a check of tokens that notices nothing: whoever gets keys needs a higher token than any
-/// other had them with, for each part of its range.
+/// Guards against a check of tokens that misses a violation: for each part of a range, a new holder needs a
+/// higher token than every other holder had.
 #[test]
 fn repeated_token() {
     let truth = Truth::default();
-    let past = Instant::now();
-    let until = past + Duration::from_secs(1);
-    truth.hold("one", &[((100, 300, 5), past)]);
-    truth.hold("two", &[((301, 400, 5), past), ((0, 99, 5), past)]);
+    let expired = Instant::now();
+    let until = expired + Duration::from_secs(1);
+    truth.hold("one", &[((100, 300, 5), expired)]);
+    truth.hold("two", &[((301, 400, 5), expired), ((0, 99, 5), expired)]);
     truth.hold("one", &[((100, 300, 5), until)]);
     assert_eq!(truth.all_broken(), Vec::<String>::new());
     truth.drop_all("one");
     truth.hold("two", &[((200, 310, 5), until)]);
-    let said = "two gets 200 with 5, and one had it with 5".to_owned();
-    assert_eq!(truth.all_broken(), vec![said]);
+    let violation = "two gets 200 with 5, and one had it with 5".to_owned();
+    assert_eq!(truth.all_broken(), vec![violation]);
     truth.hold("two", &[((150, 160, 6), until)]);
     assert_eq!(truth.all_broken().len(), 1);
 }
--- a/crates/rack/tests/system/growth.rs
+++ b/crates/rack/tests/system/growth.rs
@@ -1,4 +1,4 @@
-//! Hosts join, and keys move, while requests come.
+//! Hosts join and keys move under load.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,12 +8,12 @@
 use super::support::World;
 
 const START: Duration = Duration::from_secs(30);
-/// How many clients ask all the time.
+/// How many clients send requests, each one at a time.
 const CLIENTS: u16 = 40;
 
-/// Asks for keys from `first` on, `count` of them, until a moment; returns how many answers were good,
-/// and the others.
-async fn ask_until(
+/// Requests the `count` keys from `first` on until a point in time; returns the number of responses with
+/// status 200 and the statuses of the others.
+async fn request_until(
     world: &World,
     name: &str,
     first: u16,
@@ -40,8 +40,8 @@
     (good, all.into_iter().flat_map(|(_, other)| other).collect())
 }
 
-/// A host with an empty server joins while clients ask for all keys: it gets keys, requests find them
-/// there, and hardly any is refused on the way; none fails otherwise.
+/// A host with a server without keys joins while clients request all keys: the server gets keys and
+/// requests for them, fewer than one request is refused for fifty served, and none fails otherwise.
 #[tokio::test(flavor = "multi_thread")]
 async fn new_host() {
     let mut world = World::start(&["keyed", "keyed", "plain"]).await;
@@ -53,20 +53,17 @@
     world.hosts[place]
         .server
         .set_work(Duration::from_millis(30));
-    // Clients ask at the hosts that were there before.
+    // Clients send their requests to the earlier hosts only.
     let newcomer = world.hosts.pop().unwrap();
     let until = Instant::now() + Duration::from_secs(9);
-    let asked = ask_until(&world, "join", 0, 65_535, until);
+    let requests = request_until(&world, "join", 0, 65_535, until);
     let joined = async {
         tokio::time::sleep(Duration::from_secs(1)).await;
         newcomer.spawn()
     };
-    let ((good, other), process) = tokio::join!(asked, joined);
-    let truly_refused = Some(StatusCode::SERVICE_UNAVAILABLE);
-    assert!(
-        other.iter().all(|status| *status == truly_refused),
-        "{other:?}"
-    );
+    let ((good, other), process) = tokio::join!(requests, joined);
+    let refused = Some(StatusCode::SERVICE_UNAVAILABLE);
+    assert!(other.iter().all(|status| *status == refused), "{other:?}");
     assert!(other.len() * 50 < good, "{} of {good}", other.len());
     assert!(newcomer.server.keys() > 0);
     assert!(!newcomer.server.callers().is_empty());
@@ -74,25 +71,25 @@
     drop(process);
 }
 
-/// All clients want two hundred neighbouring keys, which one server holds, and it can't do so much. The
-/// keys are cut apart and spread: seconds later most of the work is done, by several servers.
+/// All clients request two hundred adjacent keys of one server, more than it can serve. The range is split
+/// and distributed: seconds later several servers share the requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn hot_range_spreads() {
     let world = World::start(&["keyed", "keyed", "keyed", "plain"]).await;
     world.settled(START).await;
     for host in &world.hosts {
-        // Ten slots: 50 requests a second, where the clients ask for up to 200.
+        // Ten slots serve 50 requests a second; the clients send up to 200.
         host.server.set_work(Duration::from_millis(200));
     }
     let until = Instant::now() + Duration::from_secs(8);
-    ask_until(&world, "hot", 40_000, 200, until).await;
+    request_until(&world, "hot", 40_000, 200, until).await;
     let before: Vec<usize> = world
         .hosts
         .iter()
         .map(|host| host.server.callers().len())
         .collect();
     let until = Instant::now() + Duration::from_secs(4);
-    let (good, _) = ask_until(&world, "spread", 40_000, 200, until).await;
+    let (good, _) = request_until(&world, "spread", 40_000, 200, until).await;
     let after = world.hosts.iter().map(|host| host.server.callers().len());
     let runs: Vec<usize> = after
         .zip(before)
--- a/crates/rack/tests/system/losses.rs
+++ b/crates/rack/tests/system/losses.rs
@@ -1,29 +1,29 @@
-//! How long keys are without an owner after a loss, with real processes.
+//! How long keys are without an owner after a loss.
 //!
-//! `QUETZALRACK_LOSSES` asks for more losses of each kind; the median and the worst are printed.
+//! `QUETZALRACK_LOSSES` sets the number of losses of each kind; the median and the longest time are printed.
 
 use std::time::Duration;
 
 use super::support::World;
 
 const START: Duration = Duration::from_secs(30);
-/// Within which time all keys are served again.
-const SERVED_AGAIN: Duration = Duration::from_secs(5);
+/// Longest time until all keys are served again.
+const MAX_RECOVERY: Duration = Duration::from_secs(5);
 const SERVICES: [&str; 5] = ["keyed", "keyed", "keyed", "plain", "plain"];
-/// The hosts with a server that holds keys.
-const KEYED: usize = 3;
-/// So many keys surely hold one of the sample.
-const MANY: u32 = 10_000;
-/// How long a server or host that has come back is left alone.
-const REST: Duration = Duration::from_secs(3);
+/// Number of hosts with a server that holds keys; they come first.
+const KEYED_HOSTS: usize = 3;
+/// A server with this many keys holds at least one of the sample.
+const MIN_KEYS: u32 = 10_000;
+/// Pause before the next fault after a server or host has returned.
+const RECOVERY_PAUSE: Duration = Duration::from_secs(3);
 
 #[derive(Clone, Copy, Debug)]
 enum Loss {
-    /// The server falls silent, though its port takes connections; another starts later.
+    /// The server stops responding, though its port accepts connections; another starts later.
     Server,
-    /// The process is killed and starts again.
+    /// The node's process is killed and restarted.
     Node,
-    /// The host, its process and its server are gone for good; another host joins later.
+    /// The host, its node and its server are lost permanently; another host joins later.
     Host,
 }
 
@@ -32,12 +32,13 @@
     count.map_or(1, |count| count.parse().unwrap())
 }
 
-/// Returns a host whose server has many keys, in turn; another than the leader's if the store is away.
-fn victim(world: &World, number: usize, store_away: bool) -> usize {
+/// Selects a host whose server holds at least `MIN_KEYS` keys, in rotation; not the leader's host while the
+/// store is unreachable.
+fn select_host(world: &World, number: usize, store_away: bool) -> usize {
     let leader = world.leader();
-    let usable = (0..KEYED).filter(|place| {
-        let has_many = world.hosts[*place].server.keys() >= MANY;
-        has_many && (!store_away || *place != leader)
+    let usable = (0..KEYED_HOSTS).filter(|place| {
+        let holds_enough = world.hosts[*place].server.keys() >= MIN_KEYS;
+        holds_enough && (!store_away || *place != leader)
     });
     let usable: Vec<usize> = usable.collect();
     usable[number % usable.len()]
@@ -66,12 +67,12 @@
         Loss::Host => {
             let newcomer = world.add_host("keyed").await;
             world.start_node(newcomer);
-            // The hosts with keys stay the first ones.
+            // The hosts with keys come first.
             let host = world.hosts.pop().unwrap();
             world.hosts.insert(0, host);
         }
     }
-    tokio::time::sleep(REST).await;
+    tokio::time::sleep(RECOVERY_PAUSE).await;
     world.settled(START).await;
 }
 
@@ -87,10 +88,10 @@
 
 async fn measure_in(mut world: World, loss: Loss, store_away: bool) {
     world.settled(START).await;
-    tokio::time::sleep(REST).await;
+    tokio::time::sleep(RECOVERY_PAUSE).await;
     let mut times = Vec::new();
     for number in 0..losses() {
-        let place = victim(&world, number, store_away);
+        let place = select_host(&world, number, store_away);
         world.store.set_away(store_away);
         tokio::time::sleep(Duration::from_millis(500)).await;
         times.push(lose(&mut world, loss, place).await);
@@ -101,39 +102,39 @@
     let (median, worst) = (times[times.len() / 2], times[times.len() - 1]);
     println!("{times:?}");
     println!("{loss:?}, store away {store_away}: median {median:?}, worst {worst:?}");
-    assert!(worst < SERVED_AGAIN, "{times:?}");
+    assert!(worst < MAX_RECOVERY, "{times:?}");
     assert_eq!(world.truth.all_broken(), Vec::<String>::new());
 }
 
-/// A server falls silent: its keys are given to others when its hold has run out.
+/// A server stops responding: its keys are granted to others when its hold has expired.
 #[tokio::test(flavor = "multi_thread")]
 async fn server() {
     measure(Loss::Server, false).await;
     measure(Loss::Server, true).await;
 }
 
-/// A process is killed and starts again: it takes up what its server holds.
+/// A node is killed and restarted: it adopts what its server holds.
 #[tokio::test(flavor = "multi_thread")]
 async fn node() {
     measure(Loss::Node, false).await;
     measure(Loss::Node, true).await;
 }
 
-/// A host is gone for good: its keys are given to others when every lease of it has ended.
+/// A host is lost permanently: its keys are granted to others when all its leases have expired.
 #[tokio::test(flavor = "multi_thread")]
 async fn host() {
     measure(Loss::Host, false).await;
     measure(Loss::Host, true).await;
 }
 
-/// The leader's host is gone for good while the store is away. Nobody can be named as the next leader
-/// without the store, so keys lose their owners with their leases; they are served again soon after the
-/// store is back.
+/// The leader's host is lost permanently while the store is unreachable. No leader can be established
+/// without the store, so keys lose their owners when the leases expire; they are served again soon after
+/// the store is reachable.
 #[tokio::test(flavor = "multi_thread")]
 async fn leader_without_store() {
     let mut world = World::start(&SERVICES).await;
     world.settled(START).await;
-    tokio::time::sleep(REST).await;
+    tokio::time::sleep(RECOVERY_PAUSE).await;
     world.store.set_away(true);
     tokio::time::sleep(Duration::from_millis(500)).await;
     let host = world.hosts.remove(world.leader());
@@ -141,29 +142,29 @@
     drop(host);
     tokio::time::sleep(Duration::from_secs(6)).await;
     world.store.set_away(false);
-    let took = world.settled(START).await;
-    println!("the leader, store away: {took:?} after the store was back");
-    assert!(took < SERVED_AGAIN, "{took:?}");
+    let recovery = world.settled(START).await;
+    println!("the leader, store away: {recovery:?} after the store was back");
+    assert!(recovery < MAX_RECOVERY, "{recovery:?}");
     assert_eq!(world.truth.all_broken(), Vec::<String>::new());
 }
 
-/// A server that is granted keys by call falls silent: its keys are given to others when its hold has
-/// run out.
+/// A server that is granted keys by call stops responding: its keys are granted to others when its hold
+/// has expired.
 #[tokio::test(flavor = "multi_thread")]
 async fn called_server() {
     measure_by_call(Loss::Server, false).await;
     measure_by_call(Loss::Server, true).await;
 }
 
-/// A process is killed beside a server that is granted keys by call. The next one does not know what the
-/// server holds, and renews what the leader says that it does.
+/// A node beside a server that is granted keys by call is killed. The restarted node does not know what the
+/// server holds, and renews the holding that the leader reports.
 #[tokio::test(flavor = "multi_thread")]
 async fn called_node() {
     measure_by_call(Loss::Node, false).await;
     measure_by_call(Loss::Node, true).await;
 }
 
-/// A host whose server was granted keys by call is gone for good.
+/// A host whose server is granted keys by call is lost permanently.
 #[tokio::test(flavor = "multi_thread")]
 async fn called_host() {
     measure_by_call(Loss::Host, false).await;
--- a/crates/rack/tests/system/pipelines.rs
+++ b/crates/rack/tests/system/pipelines.rs
@@ -1,15 +1,15 @@
-//! Clients that send requests behind one another.
+//! Clients that pipeline requests.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use super::support::World;
 
-/// A client sends four requests before the first is answered, and the work of each takes half a
-/// second. One after the other they would take two seconds, and the last would be late though the
-/// servers idle. They are worked on at once, and answered in their order.
+/// Guards against pipelined requests that run one after another. Four requests of half a second each would
+/// take two seconds, and the last would be late although servers are idle. They run concurrently, and the
+/// responses come in the order of the requests.
 #[tokio::test(flavor = "multi_thread")]
-async fn at_once() {
+async fn concurrent_requests() {
     let world = World::start(&["plain", "keyed"]).await;
     world.settled(Duration::from_secs(30)).await;
     world.hosts[0].server.set_work(Duration::from_millis(500));
@@ -32,8 +32,8 @@
     )
 }
 
-/// The body of a request looks like a request. Whoever looks for requests ahead of the HTTP library and
-/// is wrong about where a body ends runs what no client asked for.
+/// Guards against request smuggling: the body of a request looks like a request. A node that reads ahead of
+/// the HTTP library and mistakes the end of a body would run a request that no client sent.
 #[tokio::test(flavor = "multi_thread")]
 async fn request_in_body() {
     let world = World::start(&["plain", "keyed"]).await;
--- a/crates/rack/tests/system/reload.rs
+++ b/crates/rack/tests/system/reload.rs
@@ -1,4 +1,4 @@
-//! The settings file of a running process changes.
+//! Changes to the settings file of a running process.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,8 +19,8 @@
     }
 }
 
-/// The file changes without a signal, and then becomes unreadable. The process goes on with what it
-/// has, and says within seconds which fields differ and what is wrong; a signal makes it say so again.
+/// The file changes without a signal and then becomes unreadable. The process keeps its settings and logs
+/// within seconds which fields differ or that the file can't be read; a signal makes it log that again.
 #[tokio::test(flavor = "multi_thread")]
 async fn changed_file() {
     let world = World::start(&["plain", "keyed"]).await;
--- a/crates/rack/tests/system/shutdown.rs
+++ b/crates/rack/tests/system/shutdown.rs
@@ -1,4 +1,4 @@
-//! Processes that are told to leave while clients go on.
+//! Processes that receive SIGTERM under load.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use super::support::World;
 
 const START: Duration = Duration::from_secs(30);
-/// After this time a leaving process has closed the connections that were open and unused.
-const CLOSED: Duration = Duration::from_millis(2_600);
+/// Time after SIGTERM by which a process has closed its idle connections.
+const IDLE_CLOSED: Duration = Duration::from_millis(2_600);
 
-/// Starts hosts whose servers take so long for a request, with routes that wait for it.
+/// Starts hosts whose servers take `work` for a request, with routes whose timeouts allow it.
 async fn started(work: Duration) -> World {
     let world = World::start(&["plain", "plain", "keyed"]).await;
     world.settled(START).await;
@@ -23,25 +23,25 @@
     world
 }
 
-/// Guards against a connection that a leaving process closes before it has read the first request: it is
-/// opened after the others were closed, and its request comes a moment later.
+/// Guards against a connection that a process closes during shutdown before it has read the first request:
+/// the connection is opened after the idle ones were closed, and its request comes a moment later.
 #[tokio::test(flavor = "multi_thread")]
-async fn opened_late() {
+async fn late_connection() {
     let world = started(Duration::from_millis(3_400)).await;
-    let keeps_it = world.ask_patiently(0, "long", "/plain/1");
+    let long_request = world.ask_patiently(0, "long", "/plain/1");
     let late = async {
         tokio::time::sleep(Duration::from_millis(200)).await;
         world.terminate_node(0);
         for host in &world.hosts {
             host.server.set_work(Duration::from_millis(10));
         }
-        tokio::time::sleep(CLOSED).await;
+        tokio::time::sleep(IDLE_CLOSED).await;
         let request = "GET /plain/1 HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: late\r\nX-Deadline-Ms: 1500\r\n\r\n";
         world
             .send_pieces(0, &["", request], Duration::from_secs(1))
             .await
     };
-    let (long, late) = tokio::join!(keeps_it, late);
+    let (long, late) = tokio::join!(long_request, late);
     assert_eq!(long, Some(StatusCode::OK));
     let first = late.lines().next().unwrap_or_default();
     assert!(
@@ -50,61 +50,61 @@
     );
 }
 
-/// Guards against requests that are cut when their process ends: it was told to leave twice, and counted its
-/// time from the second time.
+/// Guards against requests that are cut off when their process exits: a second SIGTERM must not restart its
+/// grace period.
 #[tokio::test(flavor = "multi_thread")]
-async fn told_twice() {
-    let first = late_answer(Some(Duration::from_secs(3)), 4_000).await;
+async fn second_signal() {
+    let first = late_response(Some(Duration::from_secs(3)), 4_000).await;
     assert!(first.starts_with("HTTP/1.1 503"), "{first:?}");
 }
 
-/// Guards against requests that a leaving process takes though it ends before they must be answered.
+/// Guards against requests that a process accepts during shutdown although it exits before their deadlines.
 #[tokio::test(flavor = "multi_thread")]
-async fn too_late() {
-    let first = late_answer(None, 15_000).await;
+async fn deadline_after_exit() {
+    let first = late_response(None, 15_000).await;
     assert!(first.starts_with("HTTP/1.1 503"), "{first:?}");
 }
 
-/// Tells a process to leave, and once more after a while, and sends it a request 3.2 s after the first time
-/// that its server works on for long; returns the first line of what comes back at once.
-async fn late_answer(again: Option<Duration>, patience_ms: u32) -> String {
+/// Sends a process SIGTERM, a second one after `second_after` if given, and 3.2 s after the first a request
+/// that takes its server 9 s; returns the first line of what the process sends within a second.
+async fn late_response(second_after: Option<Duration>, deadline_ms: u32) -> String {
     let world = started(Duration::from_secs(9)).await;
-    let keeps_it = world.ask_patiently(0, "long", "/plain/1");
+    let long_request = world.ask_patiently(0, "long", "/plain/1");
     let late = async {
         tokio::time::sleep(Duration::from_millis(200)).await;
         world.terminate_node(0);
-        let again = again.unwrap_or_default();
-        tokio::time::sleep(again).await;
-        if !again.is_zero() {
+        let second_after = second_after.unwrap_or_default();
+        tokio::time::sleep(second_after).await;
+        if !second_after.is_zero() {
             world.terminate_node(0);
         }
-        tokio::time::sleep(Duration::from_millis(3_200).saturating_sub(again)).await;
+        tokio::time::sleep(Duration::from_millis(3_200).saturating_sub(second_after)).await;
         let request = format!(
-            "GET /plain/1 HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: late\r\nX-Deadline-Ms: {patience_ms}\r\n\r\n"
+            "GET /plain/1 HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: late\r\nX-Deadline-Ms: {deadline_ms}\r\n\r\n"
         );
         world
             .send_pieces(0, &["", &request], Duration::from_secs(1))
             .await
     };
-    let (_, late) = tokio::join!(keeps_it, late);
+    let (_, late) = tokio::join!(long_request, late);
     late.lines().next().unwrap_or_default().to_owned()
 }
 
-/// Guards against requests that are cut because they come while the process ends: whoever connects then is
-/// answered, or told that nobody listens.
+/// Guards against requests that are cut off because they come while the process exits: a client that
+/// connects then gets a response or its connection is refused.
 #[tokio::test(flavor = "multi_thread")]
-async fn until_the_end() {
+async fn connections_until_exit() {
     let mut world = World::start(&["plain", "plain", "keyed"]).await;
     world.settled(START).await;
     for host in &world.hosts {
         host.server.set_work(Duration::from_millis(30));
     }
     world.terminate_node(0);
-    let mut cut = Vec::new();
+    let mut cut_connections = Vec::new();
     while !world.hosts[0].has_ended() {
-        let asks = (0..12).map(|_| world.ask_anew(0, "/plain/1"));
-        let answers = futures::future::join_all(asks).await;
-        cut.extend(answers.into_iter().filter(|answer| *answer == Anew::Cut));
+        let requests = (0..12).map(|_| world.ask_anew(0, "/plain/1"));
+        let answers = futures::future::join_all(requests).await;
+        cut_connections.extend(answers.into_iter().filter(|answer| *answer == Anew::Cut));
     }
-    assert_eq!(cut, Vec::new());
+    assert_eq!(cut_connections, Vec::new());
 }
--- a/crates/rack/tests/system/store_faults.rs
+++ b/crates/rack/tests/system/store_faults.rs
@@ -1,4 +1,4 @@
-//! The store serves some, is slow, loses answers, does things late, or forgets its history.
+//! A store that refuses some hosts, is slow, loses responses, applies appends late or drops its history.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,20 +11,20 @@
 
 const START: Duration = Duration::from_secs(30);
 const SERVICES: [&str; 5] = ["keyed", "keyed", "keyed", "plain", "plain"];
-/// Within which time all keys are served again after a loss.
-const SERVED_AGAIN: Duration = Duration::from_secs(5);
-/// Within which time a configuration is in force.
-const IN_FORCE: Duration = Duration::from_secs(2);
+/// Longest time until all keys are served again after a loss.
+const MAX_RECOVERY: Duration = Duration::from_secs(5);
+/// Longest time until a configuration is in force.
+const MAX_CONFIG_DELAY: Duration = Duration::from_secs(2);
 
-/// Within which time of its return a store's news are in force: after so long a calm host counts as in
-/// touch again.
-const AFTER_SILENCE: Duration = Duration::from_secs(3);
+/// Longest time from the store's return until its newest configuration is in force. After the same time
+/// without faults a host counts as connected again.
+const MAX_DELAY_AFTER_OUTAGE: Duration = Duration::from_secs(3);
 
 async fn wait_for_config(world: &World) {
-    wait_for_config_within(world, IN_FORCE).await;
+    wait_for_config_within(world, MAX_CONFIG_DELAY).await;
 }
 
-async fn wait_for_config_within(world: &World, patience: Duration) {
+async fn wait_for_config_within(world: &World, timeout: Duration) {
     let written = Instant::now();
     for place in 0..world.hosts.len() {
         loop {
@@ -32,17 +32,17 @@
             if got.status == Some(StatusCode::OK) {
                 break;
             }
-            assert!(written.elapsed() < patience, "node-{place}: {got:?}");
+            assert!(written.elapsed() < timeout, "node-{place}: {got:?}");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 }
 
-/// The store turns the leader's host and another away, each in its own way, while it serves the rest.
-/// A configuration is in force on them too, through their peers; keys keep their owners; and when the
-/// leader is lost meanwhile, a node that reaches the store follows it.
+/// The store refuses the leader's host and ignores another one, while it serves the others. A
+/// configuration comes into force on these two as well, through their peers, and keys keep their owners.
+/// When the leader is lost meanwhile, a node that reaches the store takes over.
 #[tokio::test(flavor = "multi_thread")]
-async fn turns_some_away() {
+async fn refuses_some_hosts() {
     let mut world = World::start(&SERVICES).await;
     world.settled(START).await;
     let leader = world.leader();
@@ -61,19 +61,19 @@
     world.hosts[leader].store.turn_away(Some(TurnedAway::Busy));
     world.start_node(leader);
     let took = world.settled(Duration::from_secs(20)).await;
-    assert!(took < SERVED_AGAIN, "{took:?} after the leader's loss");
+    assert!(took < MAX_RECOVERY, "{took:?} after the leader's loss");
     assert_eq!(world.truth.all_broken(), Vec::<String>::new());
 }
 
-/// The store answers slowly, then it does appends and does not say so, then it does them three seconds
-/// late; the leader is killed each time. A claim whose answer was lost is found by reading on, and a
-/// late one ends no leadership that came after it.
+/// The store responds slowly, then applies appends without a response, then applies them three seconds
+/// late; the leader is killed each time. A claim whose response was lost is found by reading further, and
+/// a late claim ends no later leadership.
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_lost_and_late() {
     let mut world = World::start(&SERVICES).await;
     world.settled(START).await;
     let none = StoreFaults::default();
-    let troubles = [
+    let fault_cases = [
         StoreFaults {
             slow: Duration::from_millis(250),
             ..none
@@ -87,7 +87,7 @@
             ..none
         },
     ];
-    for faults in troubles {
+    for faults in fault_cases {
         world.store.set_faults(faults);
         let leader = world.leader();
         world.kill_node(leader);
@@ -96,7 +96,7 @@
         let took = world.settled(Duration::from_secs(30)).await;
         assert!(took < Duration::from_secs(12), "{took:?} with {faults:?}");
         world.store.set_faults(none);
-        // What comes late comes now.
+        // Late appends are applied in this time.
         tokio::time::sleep(Duration::from_secs(4)).await;
         let took = world.settled(Duration::from_secs(10)).await;
         assert!(took < Duration::from_secs(1), "{took:?} after {faults:?}");
@@ -104,10 +104,10 @@
     assert_eq!(world.truth.all_broken(), Vec::<String>::new());
 }
 
-/// Operators write, the store drops its history, and the nodes could not read meanwhile: what they ask
-/// for is gone. They start from the newest record of each key, and go on with what comes after it.
+/// The store drops its history while the nodes can't read, after operators have written: the offset that the
+/// nodes read next has expired. They start from the newest record of each key and continue from there.
 #[tokio::test(flavor = "multi_thread")]
-async fn forgotten_history() {
+async fn dropped_history() {
     let world = World::start(&["keyed", "plain"]).await;
     world.settled(START).await;
     world.store.set_away(true);
@@ -132,9 +132,9 @@
     assert_eq!(world.truth.all_broken(), Vec::<String>::new());
 }
 
-/// Answers nobody for a while, begun when every node has just asked for news, and writes a configuration
-/// at the end of it.
-async fn silence(world: &World, length: Duration) {
+/// Makes the store unresponsive for `length`, starting just after every node has sent a read, and writes a
+/// configuration at the end of the outage.
+async fn unresponsive_store(world: &World, length: Duration) {
     world.store.write("evacuate/zone-9", "{}");
     tokio::time::sleep(Duration::from_millis(600)).await;
     for host in &world.hosts {
@@ -145,28 +145,29 @@
         host.store.turn_away(None);
     }
     world.write_config(2);
-    wait_for_config_within(world, AFTER_SILENCE).await;
+    wait_for_config_within(world, MAX_DELAY_AFTER_OUTAGE).await;
 }
 
-/// Guards against an old configuration in force for seconds after the store is back, while a read that
-/// was sent before hangs.
+/// Guards against an old configuration that stays in force for seconds after the store's return, because
+/// a read that was sent before the outage hangs.
 #[tokio::test(flavor = "multi_thread")]
-async fn short_silence() {
+async fn short_outage() {
     let world = World::start(&SERVICES).await;
     world.settled(START).await;
-    silence(&world, Duration::from_millis(1_500)).await;
+    unresponsive_store(&world, Duration::from_millis(1_500)).await;
 }
 
-/// Guards against the same where the hanging read is one that was sent into the silence.
+/// Guards against an old configuration that stays in force for seconds after the store's return, because
+/// a read that was sent during the outage hangs.
 #[tokio::test(flavor = "multi_thread")]
-async fn long_silence() {
+async fn long_outage() {
     let world = World::start(&SERVICES).await;
     world.settled(START).await;
-    silence(&world, Duration::from_millis(8_500)).await;
+    unresponsive_store(&world, Duration::from_millis(8_500)).await;
 }
 
-/// Guards against a configuration that is never in force at a node that starts, since it was written while
-/// the node read the pages of what is newest.
+/// Guards against a configuration that never comes into force at a starting node, because it is written
+/// while the node reads the pages of the newest records.
 #[tokio::test(flavor = "multi_thread")]
 async fn written_between_pages() {
     let mut world = World::start(&["plain", "keyed"]).await;
--- a/crates/rack/tests/system/unread_output.rs
+++ b/crates/rack/tests/system/unread_output.rs
@@ -1,4 +1,4 @@
-//! Nobody reads what the program writes.
+//! The program's output is not read.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,12 +8,12 @@
 use super::support::World;
 
 const START: Duration = Duration::from_secs(30);
-/// So long the lines of refused requests, at most fifty a second of an event and 250 bytes each, take to
+/// Time in which the log lines of refused requests, at most fifty a second of an event and 250 bytes each,
 /// fill a pipe of 64 KB.
-const FILLING: Duration = Duration::from_secs(9);
+const FILL_TIME: Duration = Duration::from_secs(9);
 
-/// The reader of a node's output stops reading, and the pipe fills. Lines are then lost and requests are
-/// not: each is answered as soon as before.
+/// Guards against requests that wait for a log line to be written: the output of a node is not read, and
+/// the pipe fills. Log lines are dropped; requests are served without delay.
 #[tokio::test(flavor = "multi_thread")]
 async fn full_pipe() {
     let mut world = World::start(&["plain", "keyed"]).await;
@@ -21,7 +21,7 @@
     world.kill_node(0);
     world.start_node_unread(0);
     world.settled(START).await;
-    let until = Instant::now() + FILLING;
+    let until = Instant::now() + FILL_TIME;
     let mut number = 0;
     while Instant::now() < until {
         number += 1;
