--- a/crates/node/tests/support/granting_backend.rs
+++ b/crates/node/tests/support/granting_backend.rs
@@ -1,4 +1,4 @@
-//! A backend server that takes every grant.
+//! A backend server that accepts every grant that isn't outdated.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -10,10 +10,10 @@
 use quetzalrack_core::ids::Fence;
 use quetzalrack_core::ids::SliceId;
 
-/// Takes grants and remembers the highest fence of each slice.
+/// Accepts grants and records the highest fence of each slice.
 #[derive(Debug, Default)]
 pub struct GrantingBackend {
-    /// The fences taken.
+    /// The highest accepted fence of each slice.
     pub taken: Mutex<BTreeMap<SliceId, Fence>>,
 }
 
--- a/crates/node/tests/support/memory_log.rs
+++ b/crates/node/tests/support/memory_log.rs
@@ -1,4 +1,4 @@
-//! A log service in memory.
+//! An in-memory log service.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -17,7 +17,7 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Keeps every record; can be told to be down.
+/// Keeps every record; a test can make it unavailable.
 #[derive(Debug, Default)]
 pub struct MemoryLog {
     streams: Mutex<BTreeMap<Stream, Vec<LogEntry>>>,
@@ -26,7 +26,7 @@
 }
 
 impl MemoryLog {
-    /// Takes the log service down or up again.
+    /// Sets whether the log service is down.
     pub fn set_down(&self, down: bool) {
         self.down.store(down, Ordering::SeqCst);
         self.appended.notify_waiters();
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Small fakes at the node's borders, and nodes that run in the test's own process.
+//! Fakes of the node's external dependencies, and nodes that run in the test's own process.
 #![allow(dead_code, unused_imports, clippy::unwrap_used)]
 
 mod granting_backend;
--- a/crates/node/tests/support/orders.rs
+++ b/crates/node/tests/support/orders.rs
@@ -1,4 +1,4 @@
-//! Operators' orders, straight into the log.
+//! Appends operators' orders directly to the log.
 
 use quetzalrack_core::boundary::Stream;
 use quetzalrack_core::ids::DocumentDigest;
--- a/crates/node/tests/support/test_nodes.rs
+++ b/crates/node/tests/support/test_nodes.rs
@@ -18,7 +18,7 @@
 /// The secret of every key in these tests.
 pub const SECRET: &str = "00112233445566778899aabbccddeeff";
 
-/// Returns the ring of nodes and operators alike.
+/// Returns the key ring shared by nodes and operators.
 pub fn keys() -> KeyRing {
     let key = KeySettings {
         id: "k1".to_owned(),
@@ -67,7 +67,7 @@
     });
     let url = format!("http://{admin}/announcements");
     let sent = reqwest::Client::new().post(url).json(&announcement);
-    // A node that has left does not answer any more.
+    // A node that has shut down doesn't respond.
     if let Ok(answer) = sent.send().await {
         assert!(answer.status().is_success(), "{}", answer.status());
     }
