--- a/crates/node/tests/large_bodies.rs
+++ b/crates/node/tests/large_bodies.rs
@@ -1,4 +1,4 @@
-//! Large bodies pass the nodes in pieces.
+//! Large bodies are streamed through the nodes.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -6,20 +6,20 @@
 
 use std::time::Duration;
 
-use traffic_support::Rack;
+use traffic_support::TestCluster;
 
 const QUICK: Duration = Duration::from_millis(2);
 
-/// Artwork of 200 MB goes through both hops in pieces, down and up, without being kept.
+/// Artwork of 200 MB is streamed through both hops, down and up, without being buffered whole.
 #[tokio::test]
 async fn large_artwork() {
-    let rack = Rack::start("orders", 2, QUICK).await;
+    let cluster = TestCluster::start("orders", 2, QUICK).await;
     let size = 200_000_000_usize;
     let before = resident_bytes();
-    let mut answer = rack.get(1, &format!("/orders/7?bytes={size}")).await;
+    let mut response = cluster.get(1, &format!("/orders/7?bytes={size}")).await;
     let mut received = 0;
     let mut most = 0;
-    while let Some(piece) = answer.chunk().await.unwrap() {
+    while let Some(piece) = response.chunk().await.unwrap() {
         received += piece.len();
         most = most.max(resident_bytes());
     }
@@ -28,16 +28,16 @@
     let pieces = (0..size / piece.len()).map(move |_| Ok::<_, std::io::Error>(piece.clone()));
     let body = reqwest::Body::wrap_stream(futures::stream::iter(pieces));
     let sent = size / (64 * 1024) * (64 * 1024);
-    let stored = rack
+    let stored = cluster
         .caller
-        .put(rack.url(1, "/orders/7"))
+        .put(cluster.url(1, "/orders/7"))
         .body(body)
         .send()
         .await
         .unwrap();
     assert_eq!(stored.status(), 200);
     most = most.max(resident_bytes());
-    let stored: usize = rack
+    let stored: usize = cluster
         .nodes
         .iter()
         .flat_map(|node| node.server.runs())
--- a/crates/node/tests/late_start.rs
+++ b/crates/node/tests/late_start.rs
@@ -15,10 +15,10 @@
 use support::status_of;
 use support::zone_out;
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 async fn wait_for_intent(node: &RunningNode) {
-    let in_force = poll_until(PATIENCE, || async {
+    let in_force = poll_until(TIMEOUT, || async {
         let intent = node.view().intent.load();
         intent
             .as_ref()
@@ -38,9 +38,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn log_down() {
-    // A host is replaced while the log service is down. Its new node knows nothing, and would
-    // refuse every caller until the log is back; it asks its seeds instead, and follows the very
-    // version that they follow.
+    // A host is replaced while the log service is down. Its new node has no intent and would
+    // refuse every caller until the log is back, so it asks its seeds and adopts their version.
     let log = Arc::new(MemoryLog::default());
     publish_andina(&log);
     let old = spawn_node(settings("node-1", "suba", &[]), &log);
@@ -59,7 +58,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn log_back() {
     // The log service goes down before the document is promoted and comes back later. A node that
-    // gave up reading, or that backed off for ever, would go on without it.
+    // stopped reading, or whose backoff had no upper bound, would never receive the document.
     let log = Arc::new(MemoryLog::default());
     log.set_down(true);
     let node = spawn_node(settings("node-1", "suba", &[]), &log);
@@ -70,22 +69,22 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn told_by_controller() {
-    // An operator takes a zone out. Most nodes of a larger cell do not read the log; one that
-    // nobody told would go on sending new work into the zone.
+async fn notified_by_controller() {
+    // An operator takes a zone out. Most nodes of a larger cluster do not read the log; a node that
+    // isn't notified would continue to send new requests into the zone.
     let log = Arc::new(MemoryLog::default());
     publish_andina(&log);
     let nodes: Vec<_> = (0..12)
         .map(|index| spawn_node(settings(&format!("node-{index}"), "suba", &[]), &log))
         .collect();
-    let led = poll_until(PATIENCE, || async {
+    let has_controller = poll_until(TIMEOUT, || async {
         let controllers = futures::future::join_all(nodes.iter().map(status_of)).await;
-        let led = controllers.iter().all(|status| status.controller.is_some());
-        led.then_some(())
+        let has_controller = controllers.iter().all(|status| status.controller.is_some());
+        has_controller.then_some(())
     });
-    assert_eq!(led.await, Some(()));
+    assert_eq!(has_controller.await, Some(()));
     zone_out(&log, "suba", 1);
-    let followed = poll_until(PATIENCE, || async {
+    let followed = poll_until(TIMEOUT, || async {
         let follows = |node: &RunningNode| {
             let intent = node.view().intent.load();
             intent.as_ref().is_some_and(|intent| intent.version.0 == 2)
--- a/crates/node/tests/log_answers.rs
+++ b/crates/node/tests/log_answers.rs
@@ -1,4 +1,4 @@
-//! The log client says honestly what it knows of an append.
+//! The log client reports an append as refused only if the log service can't have stored it.
 #![allow(clippy::unwrap_used)]
 
 use std::sync::Arc;
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn append_taken() {
+async fn append_accepted() {
     let log = serve(b"HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\n{\"offset\":7}").await;
     assert_eq!(append(&log).await, AppendOutcome::Appended(Offset(7)));
 }
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn nobody_there() {
+async fn connection_refused() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
@@ -72,16 +72,16 @@
 }
 
 #[tokio::test]
-async fn answer_lost() {
-    // The log service takes the record, and its answer is lost or broken on the way. A writer
-    // that took this for "not there" would give an order twice or tell an operator that it failed.
-    let answers: [&[u8]; 4] = [
+async fn response_lost() {
+    // The log service stores the record, and its response is lost or truncated. A writer that
+    // treated this as "not stored" would append an order twice or report it as failed.
+    let responses: [&[u8]; 4] = [
         b"",
         b"HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\n{\"off",
         b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}",
         b"HTTP/1.1 500 Internal Server Error\r\ncontent-length: 0\r\n\r\n",
     ];
-    for bytes in answers {
+    for bytes in responses {
         let log = serve(bytes).await;
         assert_eq!(append(&log).await, AppendOutcome::Unknown);
     }
@@ -108,12 +108,12 @@
 
 #[tokio::test]
 async fn read_broken() {
-    let answers: [&[u8]; 3] = [
+    let responses: [&[u8]; 3] = [
         b"",
         b"HTTP/1.1 200 OK\r\ncontent-length: 50\r\n\r\n{\"entries\": [",
         b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n",
     ];
-    for bytes in answers {
+    for bytes in responses {
         let log = serve(bytes).await;
         assert_eq!(read(&log).await, ReadOutcome::Unavailable);
     }
--- a/crates/node/tests/overload.rs
+++ b/crates/node/tests/overload.rs
@@ -1,4 +1,5 @@
-//! Under too much load, backend servers get what they bear and the important work is served.
+//! Under overload, backend servers get no more than their capacity and high-priority requests are
+//! served.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -12,33 +13,35 @@
 use quetzalrack_core::cluster::ServerState;
 use quetzalrack_node::shared::TrafficControl;
 use tokio::time::Instant;
-use traffic_support::Rack;
+use traffic_support::TestCluster;
 use traffic_support::eventually;
 
 #[derive(Default)]
 struct Tally {
-    whole: AtomicUsize,
+    completed: AtomicUsize,
     not_run: AtomicUsize,
     other: AtomicUsize,
 }
 
-/// Sends requests at a steady rate, whatever becomes of the earlier ones, and waits for all.
-async fn offer(rack: &Rack, path: &str, rate: u32, span: Duration) -> Arc<Tally> {
+/// Sends requests at a steady rate without waiting for earlier ones, then waits for all responses.
+async fn send_load(cluster: &TestCluster, path: &str, rate: u32, span: Duration) -> Arc<Tally> {
     let tally = Arc::new(Tally::default());
     let count = (span.as_secs_f64() * f64::from(rate)) as u32;
     let start = Instant::now();
     let mut calls = Vec::new();
     for n in 0..count {
         tokio::time::sleep_until(start + Duration::from_secs(1) * n / rate).await;
-        let node = n as usize % rack.nodes.len();
-        let request = rack.caller.get(rack.url(node, &format!("{path}/{n}")));
+        let node = n as usize % cluster.nodes.len();
+        let request = cluster
+            .caller
+            .get(cluster.url(node, &format!("{path}/{n}")));
         let tally = Arc::clone(&tally);
         calls.push(tokio::spawn(async move {
-            let answer = request.send().await.unwrap();
-            let status = answer.status();
-            let text = answer.text().await.unwrap();
+            let response = request.send().await.unwrap();
+            let status = response.status();
+            let text = response.text().await.unwrap();
             let place = match status.as_u16() {
-                200 => &tally.whole,
+                200 => &tally.completed,
                 _ if text.contains(r#""outcome":"not_run""#) => &tally.not_run,
                 _ => &tally.other,
             };
@@ -55,104 +58,127 @@
     of.load(Ordering::SeqCst)
 }
 
-fn runs(rack: &Rack) -> usize {
-    rack.nodes.iter().map(|node| node.server.runs().len()).sum()
+fn runs(cluster: &TestCluster) -> usize {
+    cluster
+        .nodes
+        .iter()
+        .map(|node| node.server.runs().len())
+        .sum()
 }
 
 /// Two backend servers of 8 slots and 40 ms serve 400 requests a second. For three seconds 800 a
-/// second arrive, half of them job history of low priority. The backend servers go on at full rate,
-/// the important half is served almost whole, and every refusal that says "not run" is true.
+/// second arrive, half of them job history of low priority. The backend servers stay at full rate,
+/// the high-priority half is served almost completely, and every "not run" refusal is true.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn twice_capacity() {
-    let rack = Rack::start("orders", 2, Duration::from_millis(40)).await;
-    rack.warm().await;
-    let before = runs(&rack);
+    let cluster = TestCluster::start("orders", 2, Duration::from_millis(40)).await;
+    cluster.warm_up().await;
+    let before = runs(&cluster);
     let span = Duration::from_secs(3);
     let (high, low) = tokio::join!(
-        offer(&rack, "/orders", 400, span),
-        offer(&rack, "/history", 400, span),
+        send_load(&cluster, "/orders", 400, span),
+        send_load(&cluster, "/history", 400, span),
     );
-    let whole = count(&high.whole) + count(&low.whole);
-    let (rate, capacity) = (whole as f64 / span.as_secs_f64(), 400.0);
+    let completed = count(&high.completed) + count(&low.completed);
+    let (rate, capacity) = (completed as f64 / span.as_secs_f64(), 400.0);
     assert!(rate >= 0.95 * capacity, "goodput {rate}");
-    let served = count(&high.whole) as f64 / 1_200.0;
+    let served = count(&high.completed) as f64 / 1_200.0;
     assert!(served > 0.9, "high priority {served}");
-    let ran = runs(&rack) - before;
+    let ran = runs(&cluster) - before;
     let not_run = count(&high.not_run) + count(&low.not_run);
     assert!(ran + not_run <= 2_400 + 240, "ran {ran}, not run {not_run}");
-    assert!(ran >= whole);
-    assert!(rack.nodes.iter().all(|node| node.server.take_peak() <= 8));
+    assert!(ran >= completed);
+    assert!(
+        cluster
+            .nodes
+            .iter()
+            .all(|node| node.server.take_peak() <= 8)
+    );
     // Each announced that it accepts 40 connections.
     assert!(
-        rack.nodes
+        cluster
+            .nodes
             .iter()
             .all(|node| node.server.connections() <= 40)
     );
 }
 
-/// The spike ends: load of half the capacity is served whole again at once, without a collapse that
-/// feeds on its own retries.
+/// After a spike, load of half the capacity is served completely at once: retries must not sustain
+/// the overload.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn after_the_spike() {
-    let rack = Rack::start("orders", 2, Duration::from_millis(40)).await;
-    rack.warm().await;
-    offer(&rack, "/orders", 1_200, Duration::from_secs(1)).await;
-    let calm = offer(&rack, "/orders", 200, Duration::from_secs(1)).await;
-    assert!(count(&calm.whole) >= 195, "{}", count(&calm.whole));
+async fn after_spike() {
+    let cluster = TestCluster::start("orders", 2, Duration::from_millis(40)).await;
+    cluster.warm_up().await;
+    send_load(&cluster, "/orders", 1_200, Duration::from_secs(1)).await;
+    let recovered = send_load(&cluster, "/orders", 200, Duration::from_secs(1)).await;
+    assert!(
+        count(&recovered.completed) >= 195,
+        "{}",
+        count(&recovered.completed)
+    );
 }
 
-/// Every backend server sheds everything. Callers' requests are retried from the budget only: the
-/// backend servers see little more work than the callers offered.
+/// Every backend server sheds everything. Requests are retried from the retry budget only, so the
+/// backend servers see little more requests than the callers sent.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn retry_storm() {
-    let rack = Rack::start("orders", 2, Duration::from_millis(1)).await;
-    rack.warm().await;
-    for node in &rack.nodes {
+    let cluster = TestCluster::start("orders", 2, Duration::from_millis(1)).await;
+    cluster.warm_up().await;
+    for node in &cluster.nodes {
         node.server.set_shed(true);
     }
-    let before: usize = rack.nodes.iter().map(|node| node.server.shed_count()).sum();
-    let storm = offer(&rack, "/orders", 500, Duration::from_secs(2)).await;
-    assert_eq!(count(&storm.not_run), 1_000);
-    let seen: usize = rack.nodes.iter().map(|node| node.server.shed_count()).sum();
+    let before: usize = cluster
+        .nodes
+        .iter()
+        .map(|node| node.server.shed_count())
+        .sum();
+    let load = send_load(&cluster, "/orders", 500, Duration::from_secs(2)).await;
+    assert_eq!(count(&load.not_run), 1_000);
+    let seen: usize = cluster
+        .nodes
+        .iter()
+        .map(|node| node.server.shed_count())
+        .sum();
     // Each of the two ingress nodes starts with a budget of 20.
     assert!(seen - before <= 1_000 + 40, "{}", seen - before);
 }
 
-/// A zone returns and all its backend servers start cold at once under full load. None gets more
-/// than its cold bound until it has warmed up.
+/// A zone returns and all its backend servers start cold under full load. None gets more than its
+/// cold bound until it has warmed up.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn all_cold_at_once() {
-    let rack = Rack::start("orders", 3, Duration::from_millis(5)).await;
-    rack.warm().await;
-    for node in &rack.nodes {
+async fn all_servers_cold() {
+    let cluster = TestCluster::start("orders", 3, Duration::from_millis(5)).await;
+    cluster.warm_up().await;
+    for node in &cluster.nodes {
         eventually("idle", || node.server.running() == 0).await;
-        // From here on its neighbour must hold back, also before it has looked at the news.
+        // From here on the node must keep to the cold bound, even before it reads the announcement.
         node.announce(2, ServerState::Cold);
         node.server.take_peak();
     }
-    offer(&rack, "/orders", 1_000, Duration::from_millis(250)).await;
-    for node in &rack.nodes {
+    send_load(&cluster, "/orders", 1_000, Duration::from_millis(250)).await;
+    for node in &cluster.nodes {
         assert!(node.server.take_peak() <= 2);
         node.announce(2, ServerState::Warm);
     }
-    offer(&rack, "/orders", 1_000, Duration::from_millis(800)).await;
+    send_load(&cluster, "/orders", 1_000, Duration::from_millis(800)).await;
     assert!(
-        rack.nodes
+        cluster
+            .nodes
             .iter()
             .any(|node| node.traffic.stats().limit.0 > 2)
     );
 }
 
-/// A backend server turns cold without a word under load. Its neighbour goes down to the cold bound
-/// by itself, within a second.
+/// A backend server turns cold under load without announcing it. Its node detects this and lowers
+/// the limit to the cold bound within a second.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn silent_cold() {
-    let rack = Rack::start("proofs", 1, Duration::from_millis(10)).await;
-    rack.warm().await;
-    let node = &rack.nodes[0];
+    let cluster = TestCluster::start("proofs", 1, Duration::from_millis(10)).await;
+    cluster.warm_up().await;
+    let node = &cluster.nodes[0];
     node.server.set_cold_bound(2);
     let traffic = &node.traffic;
-    let load = offer(&rack, "/proofs", 500, Duration::from_millis(500));
+    let load = send_load(&cluster, "/proofs", 500, Duration::from_millis(500));
     let seen = async {
         eventually("cold", || traffic.stats().state == ServerState::Cold).await;
         eventually("drained", || node.server.running() <= 2).await;
@@ -164,96 +190,100 @@
     assert!(peak <= 2, "{peak}");
 }
 
-/// A backend server freezes with eight requests in hand. Their callers are answered by their
-/// deadlines, the slots stay taken until the thaw, and no late answer reaches anybody else.
+/// A backend server freezes with eight requests in flight. Their callers get responses by their
+/// deadlines, the slots stay occupied until the thaw, and no late response reaches another caller.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn frozen_server() {
-    let rack = Rack::start("proofs", 2, Duration::from_millis(10)).await;
-    rack.warm().await;
-    let node = &rack.nodes[0];
+    let cluster = TestCluster::start("proofs", 2, Duration::from_millis(10)).await;
+    cluster.warm_up().await;
+    let node = &cluster.nodes[0];
     node.server.set_frozen(true);
     let start = Instant::now();
-    let rack = &rack;
+    let cluster = &cluster;
     let calls = (0..30).map(|n| async move {
-        let answer = rack.get(1, &format!("/proofs/f{n}")).await;
-        (answer.status().as_u16(), answer.text().await.unwrap())
+        let response = cluster.get(1, &format!("/proofs/f{n}")).await;
+        (response.status().as_u16(), response.text().await.unwrap())
     });
-    let answers = futures::future::join_all(calls).await;
+    let responses = futures::future::join_all(calls).await;
     assert!(start.elapsed() < Duration::from_millis(2_500));
-    assert!(answers.iter().all(|answer| answer.0 >= 500), "{answers:?}");
+    assert!(
+        responses.iter().all(|response| response.0 >= 500),
+        "{responses:?}"
+    );
     assert_eq!(node.traffic.stats().in_flight.0, 8);
     node.server.set_frozen(false);
     eventually("free", || node.traffic.stats().in_flight.0 == 0).await;
     for n in 0..20 {
-        let answer = rack.get(1, &format!("/proofs/g{n}")).await;
+        let response = cluster.get(1, &format!("/proofs/g{n}")).await;
         assert_eq!(
-            answer.text().await.unwrap(),
+            response.text().await.unwrap(),
             format!("answer to /proofs/g{n}")
         );
     }
     assert!(node.server.take_peak() <= 8);
 }
 
-/// One of four backend servers becomes ten times slower. The service's callers hardly notice: its
-/// share falls to a trickle, and what it still gets is sent a second time elsewhere.
+/// One of four backend servers becomes ten times slower. Every request still succeeds: its share of
+/// the requests drops sharply, and those it still gets are hedged at another server.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn straggler_loses_share() {
-    let rack = Rack::start("orders", 4, Duration::from_millis(5)).await;
-    rack.warm().await;
-    rack.nodes[2].server.set_work(Duration::from_millis(50));
-    offer(&rack, "/orders", 300, Duration::from_secs(1)).await;
-    let before: Vec<usize> = rack
+    let cluster = TestCluster::start("orders", 4, Duration::from_millis(5)).await;
+    cluster.warm_up().await;
+    cluster.nodes[2].server.set_work(Duration::from_millis(50));
+    send_load(&cluster, "/orders", 300, Duration::from_secs(1)).await;
+    let before: Vec<usize> = cluster
         .nodes
         .iter()
         .map(|node| node.server.runs().len())
         .collect();
-    let slowed = offer(&rack, "/orders", 300, Duration::from_secs(2)).await;
-    assert_eq!(count(&slowed.whole), 600);
-    let share = |index: usize| rack.nodes[index].server.runs().len() - before[index];
+    let slowed = send_load(&cluster, "/orders", 300, Duration::from_secs(2)).await;
+    assert_eq!(count(&slowed.completed), 600);
+    let share = |index: usize| cluster.nodes[index].server.runs().len() - before[index];
     assert!(share(2) < 30, "{}", share(2));
-    rack.nodes[2].server.set_work(Duration::from_millis(5));
-    offer(&rack, "/orders", 300, Duration::from_secs(3)).await;
-    let before = rack.nodes[2].server.runs().len();
-    offer(&rack, "/orders", 300, Duration::from_secs(1)).await;
-    let back = rack.nodes[2].server.runs().len() - before;
+    cluster.nodes[2].server.set_work(Duration::from_millis(5));
+    send_load(&cluster, "/orders", 300, Duration::from_secs(3)).await;
+    let before = cluster.nodes[2].server.runs().len();
+    send_load(&cluster, "/orders", 300, Duration::from_secs(1)).await;
+    let back = cluster.nodes[2].server.runs().len() - before;
     assert!(back > 20, "{back}");
 }
 
-/// A node is asked to finish under load: not one request is cut, and the port is closed after.
+/// A node shuts down under load: no request is cut off, and the port is closed afterwards.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn finish_under_load() {
-    let rack = Rack::start("orders", 2, Duration::from_millis(30)).await;
-    rack.warm().await;
+    let cluster = TestCluster::start("orders", 2, Duration::from_millis(30)).await;
+    cluster.warm_up().await;
     let done = tokio::sync::Notify::new();
-    let url = rack.url(0, "/orders");
+    let url = cluster.url(0, "/orders");
     let calls = (0..16).map(|n| {
-        let (url, done, caller) = (&url, &done, rack.caller.clone());
+        let (url, done, caller) = (&url, &done, cluster.caller.clone());
         async move {
-            let mut whole = 0;
+            let mut completed = 0;
             let mut stop = std::pin::pin!(done.notified());
             loop {
-                // A caller whose connection is closed by its answer goes to another node then.
-                let answer = caller.get(format!("{url}/{n}")).send().await.unwrap();
-                let closing = answer.headers().get("connection").is_some();
-                assert_eq!(answer.status(), 200);
-                answer.bytes().await.unwrap();
-                whole += 1;
+                // A response that closes the connection tells the caller to use another node.
+                let response = caller.get(format!("{url}/{n}")).send().await.unwrap();
+                let closing = response.headers().get("connection").is_some();
+                assert_eq!(response.status(), 200);
+                response.bytes().await.unwrap();
+                completed += 1;
                 if closing || futures::poll!(&mut stop).is_ready() {
-                    return whole;
+                    return completed;
                 }
             }
         }
     });
     let finish = async {
         tokio::time::sleep(Duration::from_millis(200)).await;
-        rack.nodes[0].traffic.finish().await;
+        cluster.nodes[0].traffic.finish().await;
         done.notify_waiters();
     };
     let (counts, ()) = tokio::join!(futures::future::join_all(calls), finish);
     assert!(counts.iter().all(|count: &i32| *count > 2), "{counts:?}");
     assert!(
-        rack.caller
-            .get(rack.url(0, "/orders/1"))
+        cluster
+            .caller
+            .get(cluster.url(0, "/orders/1"))
             .send()
             .await
             .is_err()
--- a/crates/node/tests/process.rs
+++ b/crates/node/tests/process.rs
@@ -1,4 +1,4 @@
-//! The node as a process: exit statuses, signals and the listening line.
+//! The node's process: exit statuses, signals and the listening line.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -27,7 +27,7 @@
 use support::settings;
 use tempfile::TempDir;
 
-/// Is a node's process, killed when it is dropped.
+/// A node's process, killed on drop.
 struct NodeProcess {
     child: Child,
     listening: ListeningLine,
@@ -99,17 +99,17 @@
     let path = folder.path().join("node.json");
     fs::write(&path, "{\"zone\": 7}").unwrap();
     let output = command(&path).output().unwrap();
-    let said = String::from_utf8(output.stderr).unwrap();
+    let stderr = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(2));
     assert!(
-        said.contains("settings::wrong_type") && said.contains("node.json:1:"),
-        "{said}"
+        stderr.contains("settings::wrong_type") && stderr.contains("node.json:1:"),
+        "{stderr}"
     );
     assert!(output.stdout.is_empty());
 }
 
 #[tokio::test]
-async fn leaves_on_signal() {
+async fn exits_on_signal() {
     let folder = tempfile::tempdir().unwrap();
     let path = write(&folder, &settings("node-1", "suba", &[]));
     for signal in [Signal::TERM, Signal::INT] {
@@ -132,8 +132,8 @@
 
 #[tokio::test]
 async fn keys_rotated() {
-    // Operators replace the nodes' key without a restart. A node that kept its old ring would
-    // stop hearing the others as soon as they sign with the new key, and lose every lease.
+    // Operators replace the nodes' key without a restart. A node that kept its old key ring would
+    // refuse its peers' datagrams as soon as they sign with the new key, and lose every lease.
     let folder = tempfile::tempdir().unwrap();
     let mut changed = settings("node-1", "suba", &[]);
     let path = write(&folder, &changed);
@@ -146,10 +146,10 @@
     let sealed = seal_datagram(&PeerMessage::Resign(Default::default()), &ring).unwrap();
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket.send_to(&sealed, node.listening.heartbeat).unwrap();
-    let heard = poll_until(Duration::from_secs(5), || async {
+    let refused = poll_until(Duration::from_secs(5), || async {
         (node.refused().await == 1).then_some(())
     });
-    assert_eq!(heard.await, Some(()));
+    assert_eq!(refused.await, Some(()));
     changed.node_keys.push(fresh);
     write(&folder, &changed);
     node.signal(Signal::HUP);
--- a/crates/node/tests/settings_errors.rs
+++ b/crates/node/tests/settings_errors.rs
@@ -1,4 +1,4 @@
-//! Wrong settings are refused with a code and a place.
+//! Invalid settings are refused with an error code and a source location.
 
 #![allow(clippy::unwrap_used)]
 
@@ -24,7 +24,7 @@
   "operator_keys": [{"id": "o1", "secret": "ffeeddccbbaa99887766554433221100"}]
 }"#;
 
-/// What is replaced by what, the code that follows, and the line that the report names.
+/// The replaced text, its replacement, the expected error code and the reported line.
 const CASES: [(&str, &str, &str, usize); 14] = [
     ("\"zone\"", "\"zones\"", "settings::unknown_field", 5),
     ("\"suba\"", "7", "settings::wrong_type", 5),
@@ -149,8 +149,8 @@
 
 #[test]
 fn secrets_masked() {
-    // An operator mistypes a line next to a key; the report shows that line and its neighbours.
-    // Without the mask, the key would stand in the terminal's history.
+    // An operator mistypes a line next to a key; the report shows that line and the lines around
+    // it. Without masking, the key would appear in the terminal's history.
     let error = refuse(
         "ffeeddccbbaa99887766554433221100",
         "ffeeddccbbaa9988776655443322110",
--- a/crates/node/tests/slice_ownership.rs
+++ b/crates/node/tests/slice_ownership.rs
@@ -1,4 +1,4 @@
-//! Nodes in one process take slices, keep one owner each, and give them back.
+//! Nodes in one process acquire slices, each slice has one owner, and nodes release them.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -18,7 +18,7 @@
 use support::settings;
 use support::spawn_node;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const SLICES: usize = 16;
 
 /// Counts the valid leases of the proof desk's slices over all nodes.
@@ -35,9 +35,9 @@
     owners
 }
 
-/// Waits until every slice has an owner, and fails at any moment at which one has two.
+/// Waits until every slice has an owner; panics if a slice ever has two.
 async fn wait_until_owned(nodes: &[RunningNode]) {
-    let owned = poll_until(PATIENCE, || async {
+    let owned = poll_until(TIMEOUT, || async {
         let owners = owners(nodes);
         assert!(owners.values().all(|count| *count == 1), "{owners:?}");
         (owners.len() == SLICES).then_some(())
@@ -57,10 +57,10 @@
     nodes
 }
 
-/// Goes on announcing a warm server to each node, as real ones do, until it is dropped.
-struct Announcing(tokio::task::JoinHandle<()>);
+/// Announces a warm server to each node periodically, as real servers do, until it is dropped.
+struct Announcer(tokio::task::JoinHandle<()>);
 
-impl Announcing {
+impl Announcer {
     fn to(nodes: &[RunningNode]) -> Self {
         let admins: Vec<_> = nodes.iter().map(|node| node.listening().admin).collect();
         Self(tokio::spawn(async move {
@@ -74,7 +74,7 @@
     }
 }
 
-impl Drop for Announcing {
+impl Drop for Announcer {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -85,18 +85,18 @@
     let log = Arc::new(MemoryLog::default());
     publish_andina(&log);
     let nodes = start(&log, 3).await;
-    let _servers = Announcing::to(&nodes);
+    let _servers = Announcer::to(&nodes);
     wait_until_owned(&nodes).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn node_lost() {
-    // A node is gone without a word while the log service is down. Its leases lapse, and the
-    // others take its slices: callers are refused for seconds, never answered by two owners.
+    // A node crashes while the log service is down. Its leases lapse, and the others acquire its
+    // slices: callers are refused for seconds, never answered by two owners.
     let log = Arc::new(MemoryLog::default());
     publish_andina(&log);
     let mut nodes = start(&log, 4).await;
-    let _servers = Announcing::to(&nodes);
+    let _servers = Announcer::to(&nodes);
     wait_until_owned(&nodes).await;
     log.set_down(true);
     drop(nodes.pop());
@@ -104,21 +104,21 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn node_leaves() {
-    // A host is replaced. Its node hands every slice over before it goes, so the others own them
-    // all once it says that it is finished.
+async fn node_shuts_down() {
+    // A host is replaced. Its node hands every slice over before it stops, so the others own them
+    // all once it reports that it has finished.
     let log = Arc::new(MemoryLog::default());
     publish_andina(&log);
     let mut nodes = start(&log, 4).await;
-    let _servers = Announcing::to(&nodes);
+    let _servers = Announcer::to(&nodes);
     wait_until_owned(&nodes).await;
-    let leaving = nodes.pop().unwrap();
-    let mut handle = leaving.handle();
+    let stopping = nodes.pop().unwrap();
+    let mut handle = stopping.handle();
     handle.shutdown();
-    tokio::time::timeout(PATIENCE, handle.finished())
+    tokio::time::timeout(TIMEOUT, handle.finished())
         .await
         .unwrap();
-    assert!(leaving.view().leases.load().leases.is_empty());
-    leaving.wait().unwrap();
+    assert!(stopping.view().leases.load().leases.is_empty());
+    stopping.wait().unwrap();
     wait_until_owned(&nodes).await;
 }
--- a/crates/node/tests/traffic_library.rs
+++ b/crates/node/tests/traffic_library.rs
@@ -1,5 +1,5 @@
-//! Why the traffic port is served by axum and not by rocket: what each does when a caller hangs up
-//! and when a streamed answer breaks off. `docs/design/traffic.md` draws the conclusion.
+//! Compares axum and rocket for the traffic port: what each does when a caller disconnects and when
+//! a streamed response is truncated. `docs/design/traffic.md` explains the choice of axum.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -21,7 +21,7 @@
 use traffic_support::eventually;
 
 #[derive(Clone, Default)]
-struct Seen {
+struct HandlerState {
     started: Arc<AtomicBool>,
     dropped: Arc<AtomicBool>,
     finished: Arc<AtomicBool>,
@@ -35,7 +35,7 @@
     }
 }
 
-impl Seen {
+impl HandlerState {
     async fn work(self) -> &'static str {
         let _on_drop = OnDrop(Arc::clone(&self.dropped));
         self.started.store(true, Ordering::SeqCst);
@@ -44,7 +44,7 @@
         "done"
     }
 
-    async fn hang_up(&self, address: SocketAddr) -> bool {
+    async fn cancels_on_disconnect(&self, address: SocketAddr) -> bool {
         let mut caller = tokio::net::TcpStream::connect(address).await.unwrap();
         caller
             .write_all(b"GET /slow HTTP/1.1\r\nhost: x\r\n\r\n")
@@ -57,27 +57,27 @@
     }
 }
 
-/// Reads an answer raw and tells whether it ended as a chunked body ends when it is whole.
-async fn looks_whole(address: SocketAddr) -> bool {
+/// Reads a raw response and returns whether it ends with the last chunk of a chunked body.
+async fn has_last_chunk(address: SocketAddr) -> bool {
     let mut caller = tokio::net::TcpStream::connect(address).await.unwrap();
     caller
         .write_all(b"GET /cut HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
         .await
         .unwrap();
-    let mut answer = Vec::new();
-    let _ = caller.read_to_end(&mut answer).await;
-    answer.ends_with(b"0\r\n\r\n")
+    let mut response = Vec::new();
+    let _ = caller.read_to_end(&mut response).await;
+    response.ends_with(b"0\r\n\r\n")
 }
 
 #[rocket::get("/slow")]
-async fn rocket_slow(seen: &rocket::State<Seen>) -> &'static str {
-    seen.inner().clone().work().await
+async fn rocket_slow(state: &rocket::State<HandlerState>) -> &'static str {
+    state.inner().clone().work().await
 }
 
-/// A streamed body of unknown length whose source breaks off.
-struct CutBody;
+/// A streamed body of unknown length whose source fails midway.
+struct TruncatedBody;
 
-impl<'r> Responder<'r, 'static> for CutBody {
+impl<'r> Responder<'r, 'static> for TruncatedBody {
     fn respond_to(self, _: &'r rocket::Request<'_>) -> rocket::response::Result<'static> {
         let broken = std::io::Error::other("source broke");
         let pieces = stream::iter([Ok(Bytes::from_static(b"half")), Err(broken)]);
@@ -88,11 +88,11 @@
 }
 
 #[rocket::get("/cut")]
-fn rocket_cut() -> CutBody {
-    CutBody
+fn rocket_truncated() -> TruncatedBody {
+    TruncatedBody
 }
 
-async fn start_rocket(seen: Seen) -> SocketAddr {
+async fn start_rocket(state: HandlerState) -> SocketAddr {
     let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = free.local_addr().unwrap();
     drop(free);
@@ -103,8 +103,8 @@
         ..rocket::Config::debug_default()
     };
     let server = rocket::custom(config)
-        .manage(seen)
-        .mount("/", rocket::routes![rocket_slow, rocket_cut]);
+        .manage(state)
+        .mount("/", rocket::routes![rocket_slow, rocket_truncated]);
     tokio::spawn(async move { server.launch().await });
     let mut tries = 0;
     while tokio::net::TcpStream::connect(address).await.is_err() {
@@ -115,40 +115,49 @@
     address
 }
 
-async fn start_axum(seen: Seen) -> SocketAddr {
+async fn start_axum(state: HandlerState) -> SocketAddr {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let cut = || async {
+    let truncated = || async {
         let pieces = stream::iter([Ok(Bytes::from_static(b"half")), Err("source broke")]);
         Body::from_stream(pieces)
     };
     let router = axum::Router::new()
-        .route("/slow", axum::routing::get(move || seen.clone().work()))
-        .route("/cut", axum::routing::get(cut));
+        .route("/slow", axum::routing::get(move || state.clone().work()))
+        .route("/cut", axum::routing::get(truncated));
     tokio::spawn(async move { axum::serve(listener, router).await.unwrap() });
     address
 }
 
-/// The caller hangs up while the handler works. Work for nobody must be cancelled, so the handler's
-/// future must be dropped: axum drops it, rocket lets it run to its end.
+/// The caller disconnects while the handler works. Work whose response nobody reads must be
+/// cancelled, so the handler's future must be dropped: axum drops it, rocket runs it to its end.
 #[tokio::test]
-async fn caller_hangs_up() {
-    let (of_axum, of_rocket) = (Seen::default(), Seen::default());
-    let axum = start_axum(of_axum.clone()).await;
-    assert!(of_axum.hang_up(axum).await, "axum must cancel");
-    let rocket = start_rocket(of_rocket.clone()).await;
+async fn caller_disconnects() {
+    let (axum_state, rocket_state) = (HandlerState::default(), HandlerState::default());
+    let axum = start_axum(axum_state.clone()).await;
     assert!(
-        !of_rocket.hang_up(rocket).await,
-        "rocket cancels by now: use it"
+        axum_state.cancels_on_disconnect(axum).await,
+        "axum must cancel"
+    );
+    let rocket = start_rocket(rocket_state.clone()).await;
+    assert!(
+        !rocket_state.cancels_on_disconnect(rocket).await,
+        "rocket cancels too and could replace axum"
     );
 }
 
-/// A streamed body of unknown length breaks off. The caller must see a broken connection: with axum
-/// it does, with rocket the half looks like the whole.
+/// A streamed body of unknown length fails midway. The caller must see a broken connection: with
+/// axum it does, with rocket the truncated body looks complete.
 #[tokio::test]
-async fn stream_breaks_off() {
-    let axum = start_axum(Seen::default()).await;
-    assert!(!looks_whole(axum).await, "axum must break the connection");
-    let rocket = start_rocket(Seen::default()).await;
-    assert!(looks_whole(rocket).await, "rocket breaks it by now: use it");
+async fn truncated_stream() {
+    let axum = start_axum(HandlerState::default()).await;
+    assert!(
+        !has_last_chunk(axum).await,
+        "axum must break the connection"
+    );
+    let rocket = start_rocket(HandlerState::default()).await;
+    assert!(
+        has_last_chunk(rocket).await,
+        "rocket breaks it too and could replace axum"
+    );
 }
--- a/crates/node/tests/traffic_support/fake_server.rs
+++ b/crates/node/tests/traffic_support/fake_server.rs
@@ -1,4 +1,4 @@
-//! A backend server whose faults a test sets.
+//! A backend server with configurable faults.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 use futures::stream;
 use uuid::Uuid;
 
-/// One run of work at the fake server.
+/// One request that the fake server ran.
 #[derive(Clone, Debug)]
 pub struct Run {
     pub path: String,
@@ -30,10 +30,10 @@
 }
 
 #[derive(Default)]
-struct Truth {
+struct FakeState {
     runs: Mutex<Vec<Run>>,
     cancelled: Mutex<Vec<String>>,
-    senders: Mutex<std::collections::BTreeSet<u16>>,
+    sender_ports: Mutex<std::collections::BTreeSet<u16>>,
     running: AtomicUsize,
     peak: AtomicUsize,
     work_us: AtomicU64,
@@ -41,8 +41,8 @@
     cold_bound: AtomicUsize,
     shed: AtomicBool,
     fail: AtomicBool,
-    cross: AtomicUsize,
-    lose: AtomicUsize,
+    misroute: AtomicUsize,
+    drop_body: AtomicUsize,
     truncate: AtomicUsize,
     shed_count: AtomicUsize,
 }
@@ -50,97 +50,97 @@
 /// A backend server on loopback.
 pub struct FakeServer {
     pub address: SocketAddr,
-    truth: Arc<Truth>,
+    state: Arc<FakeState>,
 }
 
 impl FakeServer {
     pub async fn start(work: Duration) -> Self {
-        let truth = Arc::new(Truth::default());
-        truth.cold_bound.store(usize::MAX, Ordering::SeqCst);
+        let state = Arc::new(FakeState::default());
+        state.cold_bound.store(usize::MAX, Ordering::SeqCst);
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let router = Router::new()
-            .fallback(answer)
-            .with_state(Arc::clone(&truth))
+            .fallback(handle)
+            .with_state(Arc::clone(&state))
             .into_make_service_with_connect_info::<SocketAddr>();
         tokio::spawn(async move { axum::serve(listener, router).await.unwrap() });
-        let server = Self { address, truth };
+        let server = Self { address, state };
         server.set_work(work);
         server
     }
 
     pub fn set_work(&self, work: Duration) {
-        self.truth
+        self.state
             .work_us
             .store(work.as_micros() as u64, Ordering::SeqCst);
     }
     pub fn set_frozen(&self, frozen: bool) {
-        self.truth.frozen.store(frozen, Ordering::SeqCst);
+        self.state.frozen.store(frozen, Ordering::SeqCst);
     }
-    /// Above this many requests at once the server is ten times slower, and above three times as
-    /// many it sheds.
+    /// Sets the concurrency above which the server is ten times slower; above three times as many
+    /// concurrent requests it sheds.
     pub fn set_cold_bound(&self, bound: usize) {
-        self.truth.cold_bound.store(bound, Ordering::SeqCst);
+        self.state.cold_bound.store(bound, Ordering::SeqCst);
     }
     pub fn set_shed(&self, shed: bool) {
-        self.truth.shed.store(shed, Ordering::SeqCst);
+        self.state.shed.store(shed, Ordering::SeqCst);
     }
     pub fn set_fail(&self, fail: bool) {
-        self.truth.fail.store(fail, Ordering::SeqCst);
+        self.state.fail.store(fail, Ordering::SeqCst);
     }
-    pub fn cross_next(&self, count: usize) {
-        self.truth.cross.store(count, Ordering::SeqCst);
+    pub fn misroute_next(&self, count: usize) {
+        self.state.misroute.store(count, Ordering::SeqCst);
     }
-    pub fn lose_next(&self, count: usize) {
-        self.truth.lose.store(count, Ordering::SeqCst);
+    pub fn drop_body_next(&self, count: usize) {
+        self.state.drop_body.store(count, Ordering::SeqCst);
     }
     pub fn truncate_next(&self, count: usize) {
-        self.truth.truncate.store(count, Ordering::SeqCst);
+        self.state.truncate.store(count, Ordering::SeqCst);
     }
     pub fn runs(&self) -> Vec<Run> {
-        self.truth.runs.lock().unwrap().clone()
+        self.state.runs.lock().unwrap().clone()
     }
     pub fn cancelled(&self) -> Vec<String> {
-        self.truth.cancelled.lock().unwrap().clone()
+        self.state.cancelled.lock().unwrap().clone()
     }
     pub fn running(&self) -> usize {
-        self.truth.running.load(Ordering::SeqCst)
+        self.state.running.load(Ordering::SeqCst)
     }
     pub fn connections(&self) -> usize {
-        self.truth.senders.lock().unwrap().len()
+        self.state.sender_ports.lock().unwrap().len()
     }
     pub fn shed_count(&self) -> usize {
-        self.truth.shed_count.load(Ordering::SeqCst)
+        self.state.shed_count.load(Ordering::SeqCst)
     }
-    /// Returns the most requests at once since the last call.
+    /// Returns the highest number of concurrent requests since the last call.
     pub fn take_peak(&self) -> usize {
-        self.truth.peak.swap(self.running(), Ordering::SeqCst)
+        self.state.peak.swap(self.running(), Ordering::SeqCst)
     }
 }
 
-struct Running(Arc<Truth>);
+struct RunningGuard(Arc<FakeState>);
 
-impl Running {
-    fn begin(truth: &Arc<Truth>) -> (Self, usize) {
-        let running = truth.running.fetch_add(1, Ordering::SeqCst) + 1;
-        truth.peak.fetch_max(running, Ordering::SeqCst);
-        (Self(Arc::clone(truth)), running)
+impl RunningGuard {
+    fn begin(state: &Arc<FakeState>) -> (Self, usize) {
+        let running = state.running.fetch_add(1, Ordering::SeqCst) + 1;
+        state.peak.fetch_max(running, Ordering::SeqCst);
+        (Self(Arc::clone(state)), running)
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.0.running.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-async fn thawed(truth: &Truth) {
-    while truth.frozen.load(Ordering::SeqCst) {
+async fn wait_until_thawed(state: &FakeState) {
+    while state.frozen.load(Ordering::SeqCst) {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-fn take_one(count: &AtomicUsize) -> bool {
+fn decrement(count: &AtomicUsize) -> bool {
     count
         .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| {
             left.checked_sub(1)
@@ -148,18 +148,18 @@
         .is_ok()
 }
 
-async fn answer(State(truth): State<Arc<Truth>>, request: Request) -> Response<Body> {
+async fn handle(State(state): State<Arc<FakeState>>, request: Request) -> Response<Body> {
     let path = request.uri().path().to_owned();
-    // The work goes on when the connection is cut, as in a real server that does not notice.
-    tokio::spawn(async move { work(truth, path, request).await })
+    // The work continues when the connection is cut, as in a server that doesn't notice it.
+    tokio::spawn(async move { work(state, path, request).await })
         .await
         .unwrap()
 }
 
-async fn work(truth: Arc<Truth>, path: String, request: Request) -> Response<Body> {
-    thawed(&truth).await;
+async fn work(state: Arc<FakeState>, path: String, request: Request) -> Response<Body> {
+    wait_until_thawed(&state).await;
     if let Some(attempt) = path.strip_prefix("/control/cancellations/") {
-        truth.cancelled.lock().unwrap().push(attempt.to_owned());
+        state.cancelled.lock().unwrap().push(attempt.to_owned());
         return Response::builder().status(202).body(Body::empty()).unwrap();
     }
     if path == "/control/health" {
@@ -170,15 +170,15 @@
         .extensions
         .get::<axum::extract::ConnectInfo<SocketAddr>>()
     {
-        truth.senders.lock().unwrap().insert(sender.port());
+        state.sender_ports.lock().unwrap().insert(sender.port());
     }
     let text = |name: &str| {
         let value = parts.headers.get(name)?;
         Some(value.to_str().unwrap().to_owned())
     };
     let attempt = text("quetzalrack-attempt").unwrap_or_default();
-    let refuse = |truth: &Truth| {
-        truth.shed_count.fetch_add(1, Ordering::SeqCst);
+    let refuse = |state: &FakeState| {
+        state.shed_count.fetch_add(1, Ordering::SeqCst);
         Response::builder()
             .status(503)
             .header("quetzalrack-attempt", &attempt)
@@ -186,29 +186,29 @@
             .body(Body::empty())
             .unwrap()
     };
-    let Some(length) = read_whole(body).await else {
-        return refuse(&truth);
+    let Some(length) = body_length(body).await else {
+        return refuse(&state);
     };
-    let bound = truth.cold_bound.load(Ordering::SeqCst);
-    let (running, at_once) = Running::begin(&truth);
-    if truth.shed.load(Ordering::SeqCst) || at_once > bound.saturating_mul(3) {
-        return refuse(&truth);
+    let bound = state.cold_bound.load(Ordering::SeqCst);
+    let (running, concurrency) = RunningGuard::begin(&state);
+    if state.shed.load(Ordering::SeqCst) || concurrency > bound.saturating_mul(3) {
+        return refuse(&state);
     }
-    truth.runs.lock().unwrap().push(Run {
+    state.runs.lock().unwrap().push(Run {
         path: path.clone(),
         attempt: attempt.clone(),
         key: text("idempotency-key"),
         body: length,
     });
-    let slowness = if at_once > bound { 10 } else { 1 };
-    let span = Duration::from_micros(truth.work_us.load(Ordering::SeqCst)) * slowness;
+    let slowness = if concurrency > bound { 10 } else { 1 };
+    let span = Duration::from_micros(state.work_us.load(Ordering::SeqCst)) * slowness;
     tokio::time::sleep(span).await;
     drop(running);
-    thawed(&truth).await;
-    finish(&truth, &path, parts.uri.query(), attempt).await
+    wait_until_thawed(&state).await;
+    finish(&state, &path, parts.uri.query(), attempt).await
 }
 
-async fn read_whole(body: Body) -> Option<usize> {
+async fn body_length(body: Body) -> Option<usize> {
     let mut length = 0;
     let mut pieces = body.into_data_stream();
     while let Some(piece) = pieces.next().await {
@@ -217,13 +217,18 @@
     Some(length)
 }
 
-async fn finish(truth: &Truth, path: &str, query: Option<&str>, attempt: String) -> Response<Body> {
+async fn finish(
+    state: &FakeState,
+    path: &str,
+    query: Option<&str>,
+    attempt: String,
+) -> Response<Body> {
     let mut attempt = attempt;
-    if take_one(&truth.cross) {
+    if decrement(&state.misroute) {
         attempt = Uuid::new_v4().to_string();
     }
     let mut response = Response::new(Body::from(format!("answer to {path}")));
-    if truth.fail.load(Ordering::SeqCst) {
+    if state.fail.load(Ordering::SeqCst) {
         *response.status_mut() = axum::http::StatusCode::INTERNAL_SERVER_ERROR;
     }
     let bytes = query.and_then(|query| query.strip_prefix("bytes="));
@@ -233,14 +238,14 @@
             .headers_mut()
             .insert("content-length", HeaderValue::from(bytes));
     }
-    if take_one(&truth.truncate) {
-        let whole = bytes.and_then(|bytes| bytes.parse().ok()).unwrap_or(100);
-        *response.body_mut() = long_body(whole, whole / 2);
+    if decrement(&state.truncate) {
+        let length = bytes.and_then(|bytes| bytes.parse().ok()).unwrap_or(100);
+        *response.body_mut() = long_body(length, length / 2);
         response
             .headers_mut()
-            .insert("content-length", HeaderValue::from(whole));
+            .insert("content-length", HeaderValue::from(length));
     }
-    if take_one(&truth.lose) {
+    if decrement(&state.drop_body) {
         *response.body_mut() = long_body(100, 0);
         response
             .headers_mut()
@@ -253,7 +258,7 @@
     response
 }
 
-/// A body of `bytes` bytes that breaks off after `cut`.
+/// Returns a body of `bytes` bytes that fails after `cut` bytes.
 fn long_body(bytes: usize, cut: usize) -> Body {
     const PIECE: usize = 16 * 1024;
     let piece = Bytes::from(vec![b'x'; PIECE]);
--- a/crates/node/tests/traffic_support/mod.rs
+++ b/crates/node/tests/traffic_support/mod.rs
@@ -1,4 +1,4 @@
-//! A few nodes with fake backend servers, their views filled by hand.
+//! A few nodes with fake backend servers, whose shared views the test sets.
 
 #![allow(
     dead_code,
@@ -9,11 +9,11 @@
 )]
 
 mod fake_server;
-mod rack;
-mod rack_node;
+mod test_cluster;
+mod test_node;
 
 pub use fake_server::FakeServer;
-pub use rack::Rack;
+pub use test_cluster::TestCluster;
 
 use std::time::Duration;
 
--- a/crates/node/tests/traffic_support/test_cluster.rs
+++ b/crates/node/tests/traffic_support/test_cluster.rs
@@ -1,4 +1,4 @@
-//! Nodes side by side, without a control thread.
+//! Several nodes without a control thread.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,17 +26,17 @@
 use quetzalrack_node::shared::TrafficControl;
 
 use super::eventually;
-use super::rack_node::RackNode;
-use super::rack_node::start_node;
+use super::test_node::TestNode;
+use super::test_node::start_node;
 
 /// Some nodes of one service.
-pub struct Rack {
-    pub nodes: Vec<RackNode>,
+pub struct TestCluster {
+    pub nodes: Vec<TestNode>,
     pub caller: reqwest::Client,
     service: ServiceName,
 }
 
-impl Rack {
+impl TestCluster {
     /// Starts `count` nodes of `service`, every slice held by the first one.
     pub async fn start(service: &str, count: usize, work: Duration) -> Self {
         Self::start_with(service, count, work, BalancingPolicy::Default, true).await
@@ -53,18 +53,18 @@
         for index in 0..count {
             nodes.push(start_node(service, index, work, choice, hedging).await);
         }
-        let rack = Self {
+        let cluster = Self {
             nodes,
             caller: reqwest::Client::builder().no_proxy().build().unwrap(),
             service: service.parse().unwrap(),
         };
-        rack.publish(1);
-        rack.give_slices(0, 1, 60_000);
-        for node in &rack.nodes {
+        cluster.publish(1);
+        cluster.grant_slices(0, 1, 60_000);
+        for node in &cluster.nodes {
             let traffic = &node.traffic;
             eventually("ready", || traffic.stats().limit >= SlotCount(2)).await;
         }
-        rack
+        cluster
     }
 
     /// Publishes the routing table, with all slices at the first node.
@@ -107,7 +107,7 @@
     }
 
     /// Grants every slice to one node, as a fresh grant without a handover.
-    pub fn give_slices(&self, node: usize, sequence: u64, lease_ms: u64) {
+    pub fn grant_slices(&self, node: usize, sequence: u64, lease_ms: u64) {
         let deadline = BootClock.now() + Duration::from_millis(lease_ms);
         let mut table = LeaseTable::default();
         for index in 0..4 {
@@ -127,7 +127,7 @@
         self.nodes[node].view.leases.store(Arc::new(table));
     }
 
-    /// Drains a slice at a node and returns the memory that it sends to its successor.
+    /// Drains a slice at a node and returns the handover that it sends to the next owner.
     pub async fn hand_over(&self, node: usize, slice: &SliceId, sequence: u64) -> Handover {
         let from = &self.nodes[node];
         let to = &self.nodes[(node + 1) % self.nodes.len()].member;
@@ -167,14 +167,16 @@
             .unwrap()
     }
 
-    /// Waits until a key made now is newer than the grants, which a gate must know.
-    pub async fn gates_ready(&self) {
+    /// Waits until a key made now is newer than the grants: an idempotency store refuses keys from
+    /// before its grant.
+    pub async fn wait_for_key_age(&self) {
         tokio::time::sleep(Duration::from_millis(1_050)).await;
     }
 
     /// Brings every node's limit up to its slots.
-    pub async fn warm(&self) {
-        // Only the first node has slices, so only its backend server gets work of a divided service.
+    pub async fn warm_up(&self) {
+        // Only the first node has slices, so only its backend server gets requests of a service
+        // that is divided by key.
         let count = match self.service.as_str() {
             "proofs" => 1,
             _ => self.nodes.len(),
@@ -196,11 +198,11 @@
     }
 }
 
-impl RackNode {
-    /// Announces the backend server, in a new life if the number differs.
-    pub fn announce(&self, life: u64, state: ServerState) {
+impl TestNode {
+    /// Announces the backend server with an incarnation; a changed one means a restart.
+    pub fn announce(&self, incarnation: u64, state: ServerState) {
         let mut announcement = self.announcement.clone();
-        announcement.incarnation = Incarnation(life);
+        announcement.incarnation = Incarnation(incarnation);
         announcement.state = state;
         self.view.announcement.store(Some(Arc::new(announcement)));
     }
--- a/crates/node/tests/traffic_support/test_node.rs
+++ b/crates/node/tests/traffic_support/test_node.rs
@@ -61,13 +61,13 @@
   "node_keys": [{"id": "k", "secret": "00112233445566778899aabbccddeeff"}],
   "operator_keys": [{"id": "o", "secret": "00112233445566778899aabbccddee00"}]}"#;
 
-/// Keeps the handovers that a node sends.
+/// Records the handovers that a node sends.
 #[derive(Default)]
-pub struct KeptHandovers {
+pub struct RecordedHandovers {
     pub sent: Mutex<Vec<Handover>>,
 }
 
-impl HandoverLink for KeptHandovers {
+impl HandoverLink for RecordedHandovers {
     fn hand_over<'a>(&'a self, _: &'a Member, handover: Handover) -> BoxFuture<'a, bool> {
         self.sent.lock().unwrap().push(handover);
         Box::pin(async { true })
@@ -75,13 +75,13 @@
 }
 
 /// One node with its fake backend server.
-pub struct RackNode {
+pub struct TestNode {
     pub traffic: RunningTraffic,
     pub view: Arc<SharedView>,
     pub server: FakeServer,
     pub announcement: Announcement,
     pub member: Member,
-    pub handovers: Arc<KeptHandovers>,
+    pub handovers: Arc<RecordedHandovers>,
 }
 
 /// Starts a node with its backend server.
@@ -91,7 +91,7 @@
     work: Duration,
     choice: BalancingPolicy,
     hedging: bool,
-) -> RackNode {
+) -> TestNode {
     let zones = ["za", "zb", "zc", "zd"];
     let server = FakeServer::start(work).await;
     let view = Arc::new(SharedView::default());
@@ -118,10 +118,10 @@
     let node = config.node.clone();
     let zone = config.zone.clone();
     let clock: Arc<dyn Clock> = Arc::new(BootClock);
-    let handovers = Arc::new(KeptHandovers::default());
+    let handovers = Arc::new(RecordedHandovers::default());
     let link: Arc<dyn HandoverLink> = handovers.clone();
     let traffic = Traffic::bind(config, Arc::clone(&view), clock, link).unwrap();
-    let nowhere: SocketAddr = "127.0.0.1:1".parse().unwrap();
+    let unused_address: SocketAddr = "127.0.0.1:1".parse().unwrap();
     let announcement = announcement(service, index, &server);
     view.announcement
         .store(Some(Arc::new(announcement.clone())));
@@ -132,11 +132,11 @@
         server: Some(announcement.server.clone()),
         service: Some(announcement.service.clone()),
         traffic: traffic.address(),
-        heartbeat: nowhere,
-        control: nowhere,
-        admin: nowhere,
+        heartbeat: unused_address,
+        control: unused_address,
+        admin: unused_address,
     };
-    RackNode {
+    TestNode {
         traffic,
         view,
         server,
--- a/crates/node/tests/unauthenticated_access.rs
+++ b/crates/node/tests/unauthenticated_access.rs
@@ -1,4 +1,4 @@
-//! Strangers reach nothing at a node's ports.
+//! A node refuses unauthenticated datagrams, calls and guarded reads, and oversized announcements.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -36,7 +36,7 @@
 use support::spawn_node;
 use support::status_of;
 
-fn strange_keys() -> KeyRing {
+fn foreign_keys() -> KeyRing {
     let key = KeySettings {
         id: "k1".to_owned(),
         secret: "ff".repeat(16),
@@ -50,13 +50,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn strange_datagram() {
-    // A stranger tells a node that the controller resigns. A node that believed it would let the
-    // next deputy take over at the stranger's wish.
+async fn foreign_key_datagram() {
+    // A sender without the key tells a node that the controller resigns. A node that accepted this
+    // would let anyone trigger a takeover by the next deputy.
     let node = start();
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let message = PeerMessage::Resign(Default::default());
-    let sealed = seal_datagram(&message, &strange_keys()).unwrap();
+    let sealed = seal_datagram(&message, &foreign_keys()).unwrap();
     socket.send_to(&sealed, node.member().heartbeat).unwrap();
     socket.send_to(b"garbage", node.member().heartbeat).unwrap();
     let counted = poll_until(Duration::from_secs(5), || async {
@@ -67,18 +67,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn strange_call() {
+async fn foreign_key_call() {
     let node = start();
     let url = format!("http://{}", node.member().control);
     let client = HttpClientBuilder::default().build(url).unwrap();
     let known = SealedCall::seal(calls::MEMBER, &(), &keys()).unwrap();
-    let strange = SealedCall::seal(calls::MEMBER, &(), &strange_keys()).unwrap();
-    let refused = client.request::<SealedCall, _>(calls::MEMBER, rpc_params![&strange]);
+    let foreign = SealedCall::seal(calls::MEMBER, &(), &foreign_keys()).unwrap();
+    let refused = client.request::<SealedCall, _>(calls::MEMBER, rpc_params![&foreign]);
     assert_matches!(refused.await, Err(_));
     let other = client.request::<SealedCall, _>(calls::HANDOVER, rpc_params![&known]);
     assert_matches!(other.await, Err(_));
-    let taken = client.request::<SealedCall, _>(calls::MEMBER, rpc_params![&known]);
-    assert_matches!(taken.await, Ok(_));
+    let accepted = client.request::<SealedCall, _>(calls::MEMBER, rpc_params![&known]);
+    assert_matches!(accepted.await, Ok(_));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -91,7 +91,7 @@
     let cases = [
         (None, StatusCode::UNAUTHORIZED),
         (
-            Some(AccessProof::make("/status", now, &strange_keys())),
+            Some(AccessProof::make("/status", now, &foreign_keys())),
             StatusCode::UNAUTHORIZED,
         ),
         (
@@ -138,8 +138,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn handover_confirmed() {
-    // A slice moves, and its memory of finished work goes with it. Only a confirmed handover lets
-    // the next holder recognise a repeat; one from a stranger could make it forget.
+    // A slice moves together with its idempotency state. Only a confirmed handover lets the next
+    // owner recognise a repeat; a handover from an unauthenticated sender could erase that state.
     let node = start();
     let handover = Handover {
         slice: "order-book/3".parse().unwrap(),
@@ -148,10 +148,10 @@
     };
     let known = CallClient::new(key_store(&settings("node-2", "suba", &[])));
     assert!(known.hand_over(node.member(), handover.clone()).await);
-    let mut strange = settings("node-3", "suba", &[]);
-    strange.node_keys[0].secret = "ff".repeat(16);
-    let strange = CallClient::new(key_store(&strange));
-    assert!(!strange.hand_over(node.member(), handover).await);
+    let mut foreign = settings("node-3", "suba", &[]);
+    foreign.node_keys[0].secret = "ff".repeat(16);
+    let foreign = CallClient::new(key_store(&foreign));
+    assert!(!foreign.hand_over(node.member(), handover).await);
 }
 
 fn key_store(settings: &NodeSettings) -> Arc<KeyStore> {
