--- a/crates/node/tests/idempotency_handover.rs
+++ b/crates/node/tests/idempotency_handover.rs
@@ -28,7 +28,7 @@
         .sum()
 }
 
-/// The owner is lost before it sent the order. The new owner can't know that, so the old key gets
+/// The owner is lost before it sends the order. The new owner can't know that, so the old key gets
 /// "outcome unknown", while a key made after the grant runs.
 #[tokio::test]
 async fn owner_lost_before_run() {
@@ -48,7 +48,7 @@
     assert_eq!(runs(&cluster), 1);
 }
 
-/// The owner is lost after it sent the order, and the order ran. The new owner must not run it
+/// The owner is lost after it sent the order and the order ran. The new owner must not run it
 /// again.
 #[tokio::test]
 async fn owner_lost_after_run() {
--- a/crates/node/tests/overload.rs
+++ b/crates/node/tests/overload.rs
@@ -119,7 +119,7 @@
 }
 
 /// Every backend server sheds everything. Requests are retried from the retry budget only, so the
-/// backend servers see little more requests than the callers sent.
+/// backend servers see few more requests than the callers sent.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn retry_storm() {
     let cluster = TestCluster::start("orders", 2, Duration::from_millis(1)).await;
@@ -223,8 +223,8 @@
     assert!(node.server.take_peak() <= 8);
 }
 
-/// One of four backend servers becomes ten times slower. Every request still succeeds: its share of
-/// the requests drops sharply, and those it still gets are hedged at another server.
+/// One of four backend servers becomes ten times slower. Every request still succeeds: the
+/// slow server's share drops sharply, and the requests it still gets are hedged at another server.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn straggler_loses_share() {
     let cluster = TestCluster::start("orders", 4, Duration::from_millis(5)).await;
