--- a/crates/core/tests/ownership/answers.rs
+++ b/crates/core/tests/ownership/answers.rs
@@ -1,4 +1,4 @@
-//! Answers that come late, twice or out of order.
+//! Answers that arrive late, duplicated or out of order.
 
 use quetzalrack_core::ownership::SafetyRules;
 
@@ -8,8 +8,8 @@
 
 #[test]
 fn late_grant() {
-    // Grants and renewals come up to three lease times late, duplicated and overtaking each other.
-    // Leases run from the sending of the heartbeat, so none is longer than the controller counts.
+    // Grants and renewals arrive up to three lease times late, duplicated and out of order. A lease
+    // starts when the heartbeat is sent, so none lasts longer than the controller assumes.
     for seed in 0..40 {
         let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
         cluster.faults = Faults {
@@ -28,16 +28,16 @@
     }
 }
 
-/// A holder reports its leases to a deputy that has no majority yet and falls silent, while the old
-/// controller's answer to an earlier heartbeat is still on its way.
+/// Cuts a holder off after it reported its leases to a deputy without a majority, while the old
+/// controller's answer to an earlier heartbeat is still in flight.
 fn superseded_answer(rules: SafetyRules, seed: u64) -> Cluster {
     let mut cluster = Cluster::started_with(rules, seed, Layout::new(5, 1, 10));
     cluster.run(6_000 + seed * 23);
     let controllers = cluster.controllers();
     let (controller, deputy) = (controllers[0], controllers[1]);
     let (holder, voters) = (controllers[4], &controllers[2..4]);
-    // The controller's answers reach the holder late, and the deputy not at all; the deputy reaches
-    // the holder alone.
+    // The controller's messages reach the holder late and the deputy not at all; the deputy reaches
+    // only the holder.
     cluster.slow.insert((controller, holder), 650_000);
     cluster.run(2_000);
     cluster.cut(&[deputy], &[controller], true);
@@ -58,9 +58,9 @@
 
 #[test]
 fn superseded_renewal() {
-    // The holder has told the deputy how long its leases last. A late answer of the old controller
-    // would lengthen them, and the deputy would give the slices away too early; adopting a higher
-    // ballot voids it.
+    // The holder has reported to the deputy how long its leases last. If a late answer of the old
+    // controller extended them, the deputy would grant the slices to others too early. A node that
+    // adopts a higher ballot ignores such an answer.
     for seed in 0..40 {
         superseded_answer(SafetyRules::default(), seed)
             .checker
--- a/crates/core/tests/ownership/claims.rs
+++ b/crates/core/tests/ownership/claims.rs
@@ -11,8 +11,8 @@
 
 #[test]
 fn lost_answer() {
-    // The answer to every append is lost although the record stands. Retries carry the same id, so
-    // a term is claimed once, and the claimant learns from the log that it won.
+    // The answer to every append is lost although the record is stored. Retries carry the same id,
+    // so a term is claimed once, and the claimant learns from the log that it won.
     for seed in 0..10 {
         let mut cluster = Cluster::new(seed, Layout::new(4, 1, 8));
         cluster.faults = Faults {
@@ -31,8 +31,8 @@
 
 #[test]
 fn racing_claims() {
-    // Every node loses its controller and all deputies at once and several claim the same term.
-    // All readers agree on the first claim in log order.
+    // Every node loses contact with the controller and all deputies at once, and several claim the
+    // same term. All readers accept the first claim in log order.
     for seed in 0..20 {
         let mut cluster = Cluster::started(seed, Layout::new(7, 1, 14));
         cluster.run(8_000);
--- a/crates/core/tests/ownership/control_cost.rs
+++ b/crates/core/tests/ownership/control_cost.rs
@@ -1,13 +1,13 @@
-//! What control costs on the network.
+//! Network traffic of the control protocol.
 
 use crate::support::Cluster;
 use crate::support::Layout;
 
-/// The most that one node may send and receive for control, in bytes per second.
+/// Limit of the control traffic that one node sends and receives.
 const MAX_BYTES_PER_S: u64 = 25_000;
-/// How many nodes a cell has at most.
+/// Largest number of nodes in a cluster.
 const MAX_CLUSTER_NODES: u64 = 32;
-/// The largest payload of a datagram in steady state.
+/// Largest payload of a datagram in steady state.
 const MAX_DATAGRAM_BYTES: u64 = 1_200;
 const SPAN_S: u64 = 20;
 
@@ -28,7 +28,11 @@
         let node = &cluster.nodes[node];
         (node.sent.bytes + node.received.bytes) / SPAN_S
     };
-    let deputy = controllers[1..].iter().map(|node| rate(*node)).max().unwrap_or(0);
+    let deputy = controllers[1..]
+        .iter()
+        .map(|node| rate(*node))
+        .max()
+        .unwrap_or(0);
     let others = (0..cluster.nodes.len()).filter(|node| !controllers.contains(node));
     let mut others: Vec<u64> = others.map(rate).collect();
     others.sort();
@@ -44,14 +48,18 @@
         "{} nodes: controller {controller} B/s, deputy {deputy} B/s, other {other} B/s, largest datagram {largest} B",
         cluster.nodes.len()
     );
-    assert!(largest <= MAX_DATAGRAM_BYTES, "a datagram of {largest} bytes");
+    assert!(
+        largest <= MAX_DATAGRAM_BYTES,
+        "a datagram of {largest} bytes"
+    );
     (controller, deputy, other)
 }
 
 #[test]
 fn bytes_by_cluster_size() {
-    // Every role stays below the budget in cells of up to 32 nodes, each slice loaded and the loads
-    // changing. A cell of 64 shows the slope; it is above the budget, so cells are smaller.
+    // Every role stays below the limit in clusters of up to 32 nodes while every slice has a
+    // changing load. A cluster of 64 nodes, which shows the slope, exceeds it, so clusters are
+    // smaller.
     let sizes = [(1, 1, 4u64), (1, 4, 16), (2, 4, 32), (4, 4, 64)];
     let costs = sizes.map(|(per_zone, services, nodes)| (nodes, measure(per_zone, services)));
     let slope = (costs[3].1.0 - costs[0].1.0) / (costs[3].0 - costs[0].0);
--- a/crates/core/tests/ownership/controller_change.rs
+++ b/crates/core/tests/ownership/controller_change.rs
@@ -1,9 +1,10 @@
-//! What a change of controller costs keys on other nodes.
+//! Effect of a change of controller on the keys of other nodes.
 
 use crate::support::Cluster;
 use crate::support::Layout;
 
-/// Returns the longest time that a slice of another node had no holder.
+/// Kills a node and returns the longest time in milliseconds that a slice of another node had no
+/// holder.
 fn untouched_gap(cluster: &mut Cluster, lost: usize) -> u64 {
     let before = cluster.owners();
     cluster.kill(lost);
@@ -14,9 +15,9 @@
 
 #[test]
 fn untouched_keys() {
-    // The controller dies. The first deputy hears nothing for 450 ms, gathers a majority and
-    // answers the heartbeats that voters sent with their reports, before any lease ends: keys on
-    // other nodes are served without a break.
+    // The controller fails. The first deputy receives nothing for 450 ms, gets a majority and
+    // answers the heartbeats with which voters reported their leases, before any lease ends. Keys
+    // on other nodes are served without interruption.
     for seed in 0..20 {
         for log_down in [false, true] {
             let mut cluster = Cluster::started(seed, Layout::new(4, 4, 16));
@@ -32,8 +33,8 @@
 
 #[test]
 fn new_term() {
-    // A deputy that acts names a full line again by claiming the next term. Nothing is unserved
-    // meanwhile.
+    // A deputy that has taken over claims the next term, which has a full list of deputies again.
+    // Every slice is served meanwhile.
     let mut cluster = Cluster::started(3, Layout::new(4, 4, 16));
     cluster.run(9_000);
     let lost = cluster.controller().unwrap();
@@ -46,8 +47,8 @@
     assert!(!cluster.controllers().contains(&lost));
 }
 
-/// Guards against tables of a new controller without the nodes that it has not heard yet: every ingress
-/// would refuse the requests for their servers, though these live.
+/// Guards against a new controller's routing table that lacks the nodes from which it has no
+/// heartbeat yet: every ingress would refuse requests for their servers, although these run.
 #[test]
 fn servers_stay_listed() {
     for seed in 0..20 {
--- a/crates/core/tests/ownership/cuts.rs
+++ b/crates/core/tests/ownership/cuts.rs
@@ -1,4 +1,4 @@
-//! Networks that fall apart.
+//! Network partitions.
 
 use crate::support::Cluster;
 use crate::support::Layout;
@@ -12,7 +12,7 @@
 #[test]
 fn with_minority() {
     // The controller is cut off with one other node. It loses its majority and stands down; the
-    // rest gets a controller and every slice.
+    // other nodes get a new controller and all slices.
     for seed in 0..10 {
         let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
         cluster.run(6_000);
@@ -45,7 +45,8 @@
 
 #[test]
 fn with_majority() {
-    // The controller keeps a majority, so it goes on; the slices beyond the cut move to its side.
+    // The controller keeps a majority and stays in charge; the slices of the nodes that are cut off
+    // move to its side.
     for seed in 0..10 {
         let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
         cluster.run(6_000);
@@ -68,8 +69,8 @@
 
 #[test]
 fn from_log_only() {
-    // The controller reaches every node but not the log service. Granting needs no log: a lost
-    // holder's slices are served again.
+    // The controller reaches every node but not the log service. Granting does not need the log, so
+    // a failed holder's slices are served again.
     let mut cluster = Cluster::started(7, Layout::new(5, 1, 10));
     cluster.run(6_000);
     let controller = cluster.controller().unwrap();
@@ -86,8 +87,8 @@
 
 #[test]
 fn even_split() {
-    // Four zones split two and two. The voters are an odd count, so one side has a majority and
-    // owns everything; the other side owns nothing.
+    // Four zones split two and two. The number of voters is odd, so one side has a majority and owns
+    // every slice; the other side owns none.
     for seed in 0..10 {
         let mut cluster = Cluster::started(seed, Layout::new(4, 4, 8));
         cluster.run(8_000);
@@ -106,9 +107,9 @@
 
 #[test]
 fn one_way_cut() {
-    // One direction of one link is cut: the first deputy does not hear the controller any more. It
-    // takes over, because it can't know better. The old controller's own leases end, since its
-    // heartbeats do not reach the new one; no other key is unserved.
+    // One direction of one link is cut: the first deputy receives nothing from the controller. It
+    // takes over, because it can't tell this from a failed controller. The old controller's own
+    // leases end, since its heartbeats do not reach the new one; every other key stays served.
     let mut cluster = Cluster::started(2, Layout::new(5, 1, 10));
     cluster.run(6_000);
     let controllers = cluster.controllers();
@@ -125,8 +126,8 @@
 
 #[test]
 fn isolated_claimant() {
-    // A node reaches the log but no other node, and claims terms. The others have a controller that
-    // they hear, and go on: nothing is unserved but what the lone node held.
+    // A node that reaches the log but no other node claims terms. The others receive messages from
+    // their controller and keep it, so only the isolated node's slices are unserved.
     for seed in 0..10 {
         let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
         cluster.run(6_000);
@@ -153,9 +154,9 @@
 
 #[test]
 fn receives_nothing() {
-    // A node hears nobody but is heard: first a holder, then the controller. It takes everybody for
-    // silent. If it took a rank or a term, all would follow it, it would never hear a majority, and
-    // no slice would have an owner for as long as it stays deaf.
+    // A node receives no messages, but its own arrive: once the controller and once the first
+    // deputy. All other nodes look failed to it. If it took over a rank or a term, all would follow
+    // it, it would never receive a majority, and no slice would have an owner until the cut ends.
     for seed in 0..10 {
         for rank in 0..2 {
             let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
--- a/crates/core/tests/ownership/division.rs
+++ b/crates/core/tests/ownership/division.rs
@@ -7,9 +7,9 @@
 
 #[test]
 fn changed_count() {
-    // Operators double the slices of a service in use. Nodes with the old and the new number would
-    // name different slices, and so different owners, for one key. The number stays as it was,
-    // through a change of controller and a restart of every host.
+    // Operators double the number of slices of a service in use. Nodes with the old and the new
+    // number would compute different slices, and so different owners, for one key. The number
+    // stays as it was, also after a change of controller and a restart of every host.
     let kept = BTreeSet::from([10]);
     let mut cluster = Cluster::started(8, Layout::new(5, 1, 10));
     cluster.run(8_000);
--- a/crates/core/tests/ownership/left_out_rules.rs
+++ b/crates/core/tests/ownership/left_out_rules.rs
@@ -1,4 +1,4 @@
-//! What the checker sees when one safety rule is left out.
+//! Each safety rule left out in turn: the checker must find two owners of a slice.
 
 use std::thread;
 
@@ -15,12 +15,12 @@
 use crate::support::Schedule;
 
 const WORKERS: u32 = 4;
-/// How many schedules are aimed at one rule.
+/// Number of schedules made to break one particular rule.
 const SEEDS: u64 = 20;
-/// How many schedules run for each rule unless `QUETZALRACK_RULE_SCHEDULES` says otherwise.
+/// Number of schedules for each rule, unless `QUETZALRACK_RULE_SCHEDULES` sets another.
 const SCHEDULES: u32 = 1_600;
 
-/// Counts the schedules in which two nodes could have sent work of one slice.
+/// Counts the schedules in which two nodes could have sent requests of one slice at a time.
 fn count_double_owners(title: &str, rules: SafetyRules) -> usize {
     let wanted = std::env::var("QUETZALRACK_RULE_SCHEDULES").ok();
     let schedules = wanted
@@ -50,15 +50,17 @@
     found
 }
 
-/// A deputy hears its voters, but its first messages as controller reach only one of them, whose
-/// leases the old controller lets lapse meanwhile.
+/// Lets a deputy receive its voters' answers, while its first messages as controller reach only one
+/// holder, whose leases the old controller treats as lapsed meanwhile.
 fn late_majority(rules: SafetyRules, seed: u64) -> Cluster {
     let mut cluster = Cluster::started_with(rules, seed, Layout::new(5, 1, 20));
     cluster.run(6_000 + seed * 31);
     let controllers = cluster.controllers();
     let (old, deputy, holder) = (controllers[0], controllers[1], controllers[2]);
     cluster.faults.delay_us = 20_000;
-    let voters: Vec<usize> = (0..5).filter(|node| !controllers[..3].contains(node)).collect();
+    let voters: Vec<usize> = (0..5)
+        .filter(|node| !controllers[..3].contains(node))
+        .collect();
     cluster.cut(&[old], &[deputy, holder], true);
     let echoed = (0..2_000).any(|_| {
         cluster.run(1);
@@ -77,27 +79,27 @@
 
 #[test]
 fn all_rules() {
-    // The schedules that break each rule below leave a single owner while all rules are followed.
+    // While all rules hold, the schedules of the tests below never lead to two owners of a slice.
     assert_eq!(count_double_owners("all rules", SafetyRules::default()), 0);
 }
 
 #[test]
 fn confirm_lapse() {
-    // Without rule 1 a controller gives a silent holder's slices away although a higher one has
-    // taken the holder over.
+    // Without rule 1 a controller grants a silent holder's slices to others although the holder
+    // already follows a controller with a higher ballot.
     let rules = SafetyRules {
         confirm_lapse: false,
         ..SafetyRules::default()
     };
-    assert!(count_double_owners("rule 1, late round", rules) > 0);
+    assert!(count_double_owners("rule 1, confirm lapse", rules) > 0);
 }
 
 #[test]
 fn timely_majority() {
     // A deputy takes over with one holder's report, but gets its majority only after the old
-    // controller, whose voters it did not reach yet, has given that holder's slices away. Without
-    // rule 2 it takes them for the reporting holder's, and gives them to others as soon as that one
-    // says that its leases ended, while the old controller's grants are still in force.
+    // controller, whose voters it had not reached yet, has granted that holder's slices to others.
+    // Without rule 2 it assumes that the reporting holder still has them, and grants them again as
+    // soon as that holder reports its leases as ended, while the old controller's grants are valid.
     for seed in 0..SEEDS {
         let cluster = late_majority(SafetyRules::default(), seed);
         assert_eq!(cluster.unserved().count(), 0, "seed {seed}");
@@ -112,13 +114,13 @@
         !cluster.checker.double_owners.is_empty()
     });
     let broken = broken.count();
-    println!("rule 2, early majority: {broken} of {SEEDS} schedules with two owners");
+    println!("rule 2, timely majority: {broken} of {SEEDS} schedules with two owners");
     assert!(broken > 0);
 }
 
 #[test]
 fn fresh_majority() {
-    // Without rule 3 a controller counts voters that have left it long ago.
+    // Without rule 3 a controller counts voters that stopped following it long ago.
     let rules = SafetyRules {
         fresh_majority: false,
         ..SafetyRules::default()
@@ -128,41 +130,41 @@
 
 #[test]
 fn send_time() {
-    // Without rule 4 a late answer lengthens a lease beyond what the controller counts.
+    // Without rule 4 a late answer extends a lease beyond the time that the controller assumes.
     let rules = SafetyRules {
         send_time: false,
         ..SafetyRules::default()
     };
-    assert!(count_double_owners("rule 4, sent clock", rules) > 0);
+    assert!(count_double_owners("rule 4, send time", rules) > 0);
 }
 
 #[test]
 fn double_wait() {
-    // With one lease time instead of two, a new controller gives away what the old one granted at
-    // the end of its authority.
+    // With one lease time instead of two, a new controller grants again what the old one granted
+    // just before it had to stand down.
     let rules = SafetyRules {
         double_wait: false,
         ..SafetyRules::default()
     };
-    assert!(count_double_owners("rule 5, full wait", rules) > 0);
+    assert!(count_double_owners("rule 5, double wait", rules) > 0);
 }
 
 #[test]
 fn fenced_release() {
-    // Without rule 6 a repeated release frees a newer grant of the same slice.
+    // Without rule 6 a duplicated release ends a newer grant of the same slice.
     let rules = SafetyRules {
         fenced_release: false,
         ..SafetyRules::default()
     };
-    assert!(count_double_owners("rule 6, named release", rules) > 0);
+    assert!(count_double_owners("rule 6, fenced release", rules) > 0);
 }
 
 #[test]
 fn exact_incarnation() {
-    // Without rule 7 a restarted controller acts under its old ballot and forgets its grants.
+    // Without rule 7 a restarted controller acts under its old ballot without knowing its grants.
     let rules = SafetyRules {
         exact_incarnation: false,
         ..SafetyRules::default()
     };
-    assert!(count_double_owners("rule 7, named lives", rules) > 0);
+    assert!(count_double_owners("rule 7, exact incarnation", rules) > 0);
 }
--- a/crates/core/tests/ownership/load_moves.rs
+++ b/crates/core/tests/ownership/load_moves.rs
@@ -1,4 +1,4 @@
-//! Moves for the sake of load.
+//! Slice moves that balance the load.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
     cluster.history.iter().filter(ordered).count()
 }
 
-/// Runs under a load for a minute and returns the share of the busiest node in the mean.
+/// Runs under a load for a minute and returns the busiest node's load divided by the mean.
 fn run_loaded(cluster: &mut Cluster, rate: impl Fn(&SliceId) -> f32) -> f32 {
     for _ in 0..300 {
         cluster.measure_uneven(&rate);
@@ -32,7 +32,7 @@
 
 #[test]
 fn even_load() {
-    // Slices are asked for about equally often, give or take a fifth. Nothing moves.
+    // Each slice's request rate stays within a fifth of the same mean. No slice moves.
     for seed in 0..5 {
         let mut cluster = Cluster::started(seed, Layout::new(4, 1, 16));
         cluster.run(8_000);
@@ -44,8 +44,8 @@
 
 #[test]
 fn uneven_slices() {
-    // All of one node's slices are asked for four times as often as the others. A few of them move
-    // away, and then nothing moves any more.
+    // All slices of one node get four times the requests of the others. A few of them move to other
+    // nodes, and then no slice moves any more.
     for seed in 0..5 {
         let mut cluster = Cluster::started(seed, Layout::new(4, 1, 16));
         cluster.run(8_000);
--- a/crates/core/tests/ownership/main.rs
+++ b/crates/core/tests/ownership/main.rs
@@ -1,4 +1,4 @@
-//! Who owns which slice, in a seeded network of fakes.
+//! Tests of slice ownership in a seeded network of fakes.
 
 #![allow(clippy::unwrap_used, clippy::panic)]
 
--- a/crates/core/tests/ownership/outage.rs
+++ b/crates/core/tests/ownership/outage.rs
@@ -1,19 +1,21 @@
-//! The log service is down.
+//! Outages of the log service.
 
 use crate::support::Cluster;
 use crate::support::Layout;
 
 #[test]
 fn one_after_another() {
-    // The log is down for minutes while first the controller, then its deputy, then a holder is
-    // lost. The line of deputies was agreed before, so each loss costs seconds.
+    // The log is down for minutes while the controller, its deputy and a holder fail one after the
+    // other. The deputies and their order were agreed before, so each failure costs seconds.
     for seed in 0..5 {
         let mut cluster = Cluster::started(seed, Layout::new(7, 1, 14));
         cluster.run(8_000);
         cluster.log.down = true;
         cluster.run(60_000);
         let controllers = cluster.controllers();
-        let holder = (0..7).find(|node| !controllers[..3].contains(node)).unwrap();
+        let holder = (0..7)
+            .find(|node| !controllers[..3].contains(node))
+            .unwrap();
         for lost in [controllers[0], controllers[1], holder] {
             cluster.kill(lost);
             assert!(cluster.run_until_served(5_000) < 5_000);
@@ -30,8 +32,8 @@
 
 #[test]
 fn start_during_outage() {
-    // A node starts while the log is down. It learns of the controller from its peers and gets its
-    // share of the slices.
+    // A node starts while the log is down. It learns from its peers which node is the controller,
+    // and gets its share of the slices.
     let mut cluster = Cluster::started(5, Layout::new(5, 1, 10));
     cluster.run(8_000);
     let newcomer = cluster.controllers()[3];
--- a/crates/core/tests/ownership/pauses.rs
+++ b/crates/core/tests/ownership/pauses.rs
@@ -1,13 +1,13 @@
-//! Nodes that freeze and thaw.
+//! Nodes that are paused and resumed.
 
 use crate::support::Cluster;
 use crate::support::Layout;
 
 #[test]
 fn paused_controller() {
-    // The controller freezes past its lease, in the middle of granting a lost node's slices, and
-    // thaws when a deputy has granted them to others. What it sends then answers heartbeats that
-    // are too old to give a lease, and its first look at the clock ends its office.
+    // The controller is paused for longer than its lease while it grants a failed node's slices, and
+    // resumes after a deputy has granted them to others. What it then sends answers heartbeats that
+    // are too old to give a lease, and it stands down when it first reads the clock.
     for seed in 0..20 {
         let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
         cluster.run(6_000);
@@ -26,8 +26,8 @@
 
 #[test]
 fn paused_holder() {
-    // A holder freezes between looking at its lease and sending. When it thaws, its slices have
-    // other owners; the clock counts the frozen time, so its leases read as lapsed at once.
+    // A holder is paused between checking its lease and sending. When it resumes, its slices have
+    // other owners. The clock counts the paused time, so its leases are lapsed at once.
     for seed in 0..20 {
         let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
         cluster.run(6_000);
@@ -52,7 +52,7 @@
 
 #[test]
 fn short_pause() {
-    // A pause well below the lease time costs nothing, wherever it falls.
+    // A pause well below the lease time leaves every slice served by its owner, on any node.
     for seed in 0..10 {
         let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
         cluster.run(6_000);
--- a/crates/core/tests/ownership/random_schedules.rs
+++ b/crates/core/tests/ownership/random_schedules.rs
@@ -14,18 +14,18 @@
 
 use crate::support::Schedule;
 
-/// How many schedules run unless `QUETZALRACK_SCHEDULES` says otherwise.
+/// Number of schedules, unless `QUETZALRACK_SCHEDULES` sets another.
 const SCHEDULES: u32 = 10_000;
-/// How many schedules run on until everything is served again.
+/// Number of schedules that go on without faults until every slice is served again.
 const RECOVERY_SCHEDULES: u32 = 400;
 const WORKERS: u32 = 8;
 const REGRESSIONS: &str = "tests/ownership/random_schedules.regressions";
 
 #[test]
 fn single_owner() {
-    // Callers would get answers of two servers for one key if any order of lost, duplicated and late
-    // messages, pauses, restarts, cuts and log outages let two nodes believe in one slice. The
-    // checker compares what each node's traffic threads would send by their own clock.
+    // Two servers would answer requests for one key if any sequence of lost, duplicated and late
+    // messages, pauses, restarts, cuts and log outages gave two nodes a valid lease of one slice.
+    // The checker compares what each node's traffic threads would send by their own clock.
     let wanted = std::env::var("QUETZALRACK_SCHEDULES").ok();
     let schedules = wanted
         .and_then(|text| text.parse().ok())
@@ -39,8 +39,8 @@
 
 #[test]
 fn served_again() {
-    // Whatever happened, once the faults are over every slice has an owner again and the nodes
-    // follow one controller.
+    // After any sequence of faults ends, every slice has an owner again and the nodes follow one
+    // controller.
     thread::scope(|scope| {
         for worker in 0..WORKERS {
             scope.spawn(move || run_recovery_worker(worker));
--- a/crates/core/tests/ownership/recovery.rs
+++ b/crates/core/tests/ownership/recovery.rs
@@ -1,4 +1,4 @@
-//! How long keys stay unserved after a loss.
+//! How long keys stay unserved after nodes fail.
 
 use quetzalrack_core::explain::Happening;
 
@@ -7,10 +7,11 @@
 
 const SEEDS: u64 = 20;
 const MAX_UNSERVED_MS: u64 = 5_000;
-/// A heartbeat's period, and the way of the last one and of the confirmation.
+/// Heartbeat interval, plus the delivery times of the last heartbeat and of the confirmation.
 const TOLERANCE_MS: i64 = 400 + 50;
 
-/// Loses nodes in 20 seeds and returns the median and the worst time without a holder.
+/// Kills nodes in 20 seeds and returns the median and the longest time without a holder, in
+/// milliseconds.
 fn measure(title: &str, log_down: bool, choose: impl Fn(&Cluster) -> Vec<usize>) -> (u64, u64) {
     let mut worst_of_seed: Vec<u64> = Vec::new();
     for seed in 0..SEEDS {
@@ -62,8 +63,8 @@
 
 #[test]
 fn lost_holder() {
-    // A host dies. Its keys are unserved until its leases have surely ended and a majority round
-    // begun later has come back; then other nodes get them.
+    // A host fails. Its keys are unserved until its leases have certainly ended and a majority has
+    // answered a round that began later; then other nodes get them.
     for log_down in [false, true] {
         assert!(measure("holder", log_down, holder).1 < MAX_UNSERVED_MS);
     }
@@ -71,8 +72,8 @@
 
 #[test]
 fn lost_controller() {
-    // The controller dies. The deputy takes over; only the keys of the dead host are unserved,
-    // because nobody reports them and they wait two lease times.
+    // The controller fails and the deputy takes over. Only the keys of the failed host are unserved:
+    // no node reports them, so they are granted after two lease times.
     for log_down in [false, true] {
         assert!(measure("controller", log_down, controller).1 < MAX_UNSERVED_MS);
     }
@@ -80,7 +81,7 @@
 
 #[test]
 fn lost_both() {
-    // Controller and a holder die at once.
+    // The controller and a holder fail at once.
     for log_down in [false, true] {
         assert!(measure("controller and holder", log_down, both).1 < MAX_UNSERVED_MS);
     }
@@ -88,7 +89,7 @@
 
 #[test]
 fn lost_deputy_too() {
-    // Controller and first deputy die at once, so the second deputy has to act.
+    // The controller and the first deputy fail at once, so the second deputy has to take over.
     for log_down in [false, true] {
         let (_, worst) = measure(
             "controller and first deputy",
@@ -101,7 +102,7 @@
 
 #[test]
 fn lost_zone() {
-    // A whole availability zone dies, with the controller in it.
+    // The whole availability zone of the controller fails.
     for log_down in [false, true] {
         assert!(measure("zone of the controller", log_down, zone).1 < MAX_UNSERVED_MS);
     }
@@ -109,9 +110,9 @@
 
 #[test]
 fn reported_gap() {
-    // A host dies and its keys are unserved until they are granted again. The time which the
-    // controller reports to operators is the true one, give or take a heartbeat and its way: it counts from
-    // the dead host's last heartbeat, not from the end of its lease.
+    // A host fails and its keys are unserved until they are granted again. The time that the
+    // controller reports to operators is the actual one within a heartbeat interval and delivery
+    // times: it counts from the failed host's last heartbeat, not from the end of its lease.
     let mut cluster = Cluster::started(3, Layout::new(4, 4, 16));
     cluster.run(12_000);
     let lost = holder(&cluster)[0];
--- a/crates/core/tests/ownership/restarts.rs
+++ b/crates/core/tests/ownership/restarts.rs
@@ -5,14 +5,16 @@
 use crate::support::Cluster;
 use crate::support::Layout;
 
-/// A deputy takes over beyond a cut, and two voters that adopted it restart on the controller's
-/// side of the cut.
+/// Lets a deputy take over behind a cut; two voters that adopted it then restart on the old
+/// controller's side of the cut.
 fn restarted_voters(rules: SafetyRules, seed: u64) -> Cluster {
     let mut cluster = Cluster::started_with(rules, seed, Layout::new(5, 1, 10));
     cluster.run(6_000 + seed * 31);
     let controllers = cluster.controllers();
     let (controller, deputy) = (controllers[0], controllers[1]);
-    let rest: Vec<usize> = (0..5).filter(|node| !controllers[..2].contains(node)).collect();
+    let rest: Vec<usize> = (0..5)
+        .filter(|node| !controllers[..2].contains(node))
+        .collect();
     let (holder, voters) = (rest[0], [rest[1], rest[2]]);
     cluster.cut(&[controller], &[deputy, holder], true);
     cluster.run(560);
@@ -29,9 +31,9 @@
 
 #[test]
 fn lost_ballot() {
-    // Voters adopt a deputy and restart. Had they acknowledged the old controller at once, it
-    // would have kept its majority and given away slices that the deputy had extended. They abstain
-    // for two lease times instead, and the old controller stands down.
+    // Voters adopt a deputy and restart. If they acknowledged the old controller at once, it would
+    // keep its majority and grant to others slices whose leases the deputy has extended. They
+    // abstain for two lease times instead, and the old controller stands down.
     for seed in 0..20 {
         let cluster = restarted_voters(SafetyRules::default(), seed);
         assert_eq!(cluster.unserved().count(), 0, "seed {seed}");
@@ -52,8 +54,8 @@
 
 #[test]
 fn all_hosts() {
-    // Every host restarts at once, with the log up. No old lease can be known, so the slices wait
-    // two lease times and are granted again.
+    // Every host restarts at once, with the log up. No node knows the old leases, so the slices are
+    // granted again after two lease times.
     for seed in 0..10 {
         let mut cluster = Cluster::started(seed, Layout::new(4, 4, 8));
         cluster.run(8_000);
@@ -70,8 +72,8 @@
 
 #[test]
 fn restarted_controller() {
-    // The controller restarts at once under its old name and address. Its new life has no rank in
-    // the term that names the old one, so a deputy governs.
+    // The controller restarts at once under its old name and address. Its new incarnation has no
+    // rank in the term that lists the old one, so a deputy takes over.
     for seed in 0..10 {
         let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
         cluster.run(6_000);
--- a/crates/core/tests/ownership/retention.rs
+++ b/crates/core/tests/ownership/retention.rs
@@ -5,8 +5,8 @@
 
 #[test]
 fn paused_node() {
-    // A node sleeps while retention passes its offset. It reads on from the oldest record, learns
-    // the term from the controller or a checkpoint, and never starts a term of its own.
+    // A node is paused until the records at its offset have expired. It continues at the oldest
+    // record, learns the term from the controller or a checkpoint, and claims no term of its own.
     for seed in 0..5 {
         let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
         cluster.run(6_000);
@@ -30,8 +30,8 @@
 
 #[test]
 fn expired_log() {
-    // Every host is replaced after everything in the log has expired. The first claim numbers its
-    // term after the offset, above every earlier one, so fences go on rising.
+    // Every host is replaced after all records in the log have expired. The first claim derives its
+    // term from the offset, above every earlier term, so fences keep increasing.
     let mut cluster = Cluster::started(3, Layout::new(4, 1, 8));
     cluster.run(8_000);
     for node in 0..4 {
@@ -49,8 +49,8 @@
 
 #[test]
 fn emptied_log() {
-    // Everything in the log expires during an outage. When the log is back, a node that reaches
-    // nobody else reads it. The living controller repeats its term at once, so the newcomer's claim
+    // All records in the log expire during an outage. After it a node that reaches no other node
+    // reads the log. The running controller writes its term again at once, so the new node's claim
     // follows that term and needs its voters; alone it can't become a second controller.
     for seed in 0..10 {
         let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
--- a/crates/core/tests/ownership/shut_down.rs
+++ b/crates/core/tests/ownership/shut_down.rs
@@ -1,12 +1,12 @@
-//! A node that is asked to leave.
+//! Nodes that shut down.
 
 use crate::support::Cluster;
 use crate::support::Layout;
 
 #[test]
 fn handover() {
-    // A node gets SIGTERM. Its slices are handed over without a break that callers notice, and
-    // only then may the process go.
+    // A node gets SIGTERM. Its slices are handed over without an interruption that callers notice,
+    // and only then may the process exit.
     for seed in 0..10 {
         let mut cluster = Cluster::started(seed, Layout::new(4, 2, 16));
         cluster.run(8_000);
@@ -24,7 +24,7 @@
 
 #[test]
 fn no_controller_answers() {
-    // A node that no controller answers finishes what it has and goes within bounded time.
+    // A node that gets no answer from a controller finishes its requests and exits in bounded time.
     let mut cluster = Cluster::started(4, Layout::new(4, 1, 8));
     cluster.run(8_000);
     let leaving = cluster.controllers()[2];
--- a/crates/core/tests/ownership/start_up.rs
+++ b/crates/core/tests/ownership/start_up.rs
@@ -1,15 +1,15 @@
-//! How a fleet starts.
+//! Start of a whole fleet.
 
 use crate::support::Cluster;
 use crate::support::Layout;
 
-/// What one fleet may append to the log in a second, of the several hundred that it takes.
+/// Limit of a fleet's appends per second; the log accepts several hundred.
 const MAX_APPENDS_PER_S: usize = 140;
 
 #[test]
 fn empty_environment() {
     // Nodes start beside their backend servers with an empty log. One of them claims the first
-    // term; every slice gets one owner.
+    // term, and every slice gets one owner.
     for seed in 0..5 {
         let mut cluster = Cluster::started(seed, Layout::new(4, 2, 16));
         cluster.run(20_000);
@@ -20,9 +20,10 @@
 
 #[test]
 fn many_hosts() {
-    // 240 hosts start at once with an empty log, which takes a few hundred appends a second. Were
-    // all to join within a moment, operators' records would be refused meanwhile. Joins are spread
-    // by the size of the document, and stop when there is a controller that takes heartbeats.
+    // 240 hosts start at once with an empty log, which accepts a few hundred appends a second. If
+    // all joined at the same time, operators' records would be refused meanwhile. Joins are spread
+    // over a time that depends on the size of the document, and stop once a controller handles
+    // heartbeats.
     let mut cluster = Cluster::new(1, Layout::new(4, 60, 1));
     for node in 0..cluster.nodes.len() {
         cluster.start(node);
@@ -44,9 +45,9 @@
 
 #[test]
 fn early_loss() {
-    // One host starts before the others and dies soon after they have come. If it had claimed the
-    // first term at once, it would be the only voter, and no later term could ever get the vote that
-    // the log asks for: keys would stay unserved for good.
+    // One host starts before the others and fails soon after they have started. If it had claimed
+    // the first term at once, it would be the only voter. No later term could get the vote that the
+    // log requires, and keys would stay unserved forever.
     for seed in 0..10 {
         let mut cluster = Cluster::new(seed, Layout::new(4, 1, 4));
         cluster.start(0);
--- a/crates/core/tests/ownership/support/checker.rs
+++ b/crates/core/tests/ownership/support/checker.rs
@@ -1,4 +1,4 @@
-//! The checker at the fake backend servers.
+//! Checks that no slice has two owners and that fences increase.
 
 use std::collections::BTreeMap;
 
@@ -7,21 +7,21 @@
 
 use super::FakeNode;
 
-/// Looks at what each node's traffic threads would send, by their own lease and their own clock;
-/// it knows nothing of any controller's books.
+/// Checks what each node's traffic threads would send, by the node's own leases and clock; it uses
+/// no controller's state.
 #[derive(Debug, Default)]
 pub struct Checker {
-    /// Times at which two nodes could have sent work of one slice.
+    /// Describes each case in which two nodes could have sent requests of one slice.
     pub double_owners: Vec<String>,
-    /// Grants whose fence was not above every earlier one of the slice.
+    /// Describes each grant whose fence was not above every earlier one of the slice.
     pub stale_fences: Vec<String>,
     pub grants: u64,
     highest: BTreeMap<SliceId, Fence>,
 }
 
 impl Checker {
-    /// Compares one node's leases with those of all others. Ownership begins only with a published
-    /// table or at the end of a pause, so it is enough to look then.
+    /// Compares one node's leases with those of all others. Ownership begins only when a table is
+    /// published or a pause ends, so calls at these times suffice.
     pub fn check_node(&mut self, now: u64, nodes: &[FakeNode], at: usize) {
         let node = &nodes[at];
         if !node.is_running(now) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Takes a grant that a backend server accepted.
+    /// Records a grant that a backend server accepted.
     pub fn record_grant(&mut self, slice: &SliceId, fence: Fence) {
         self.grants += 1;
         let highest = self.highest.entry(slice.clone()).or_default();
--- a/crates/core/tests/ownership/support/cluster.rs
+++ b/crates/core/tests/ownership/support/cluster.rs
@@ -1,4 +1,4 @@
-//! The network of fakes.
+//! A simulated cluster.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
 
 pub const NANOS_PER_MS: u64 = 1_000_000;
 
-/// Runs nodes against fakes in virtual time; the same seed gives the same run.
+/// Runs nodes with fake networks, logs and servers in virtual time; equal seeds give equal runs.
 pub struct Cluster {
     pub now: u64,
     pub layout: Layout,
--- a/crates/core/tests/ownership/support/cluster_faults.rs
+++ b/crates/core/tests/ownership/support/cluster_faults.rs
@@ -1,4 +1,4 @@
-//! What a test does to the fakes.
+//! Faults and load that a test causes.
 
 use quetzalrack_core::cluster::ServerState;
 use quetzalrack_core::ids::SliceId;
@@ -19,7 +19,7 @@
 const TICK_NS: u64 = 40 * NANOS_PER_MS;
 
 impl Cluster {
-    /// Starts a new life of a node.
+    /// Starts a new incarnation of a node.
     pub fn start(&mut self, at: usize) {
         let node = &mut self.nodes[at];
         node.incarnation += 1;
@@ -41,20 +41,20 @@
         self.schedule(phase / 3, at, Delivery::Announce);
     }
 
-    /// Ends a node's life without a word.
+    /// Ends a node's process without a shutdown.
     pub fn kill(&mut self, at: usize) {
         self.nodes[at].machine = None;
         self.nodes[at].leases = Default::default();
     }
 
-    /// Stops a node, its traffic threads with it, for a while.
+    /// Pauses a node with its traffic threads.
     pub fn pause(&mut self, at: usize, span_ms: u64) {
         let until = self.now + span_ms * NANOS_PER_MS;
         self.nodes[at].paused_until = self.nodes[at].paused_until.max(until);
         self.schedule(span_ms * NANOS_PER_MS, at, Delivery::Resume);
     }
 
-    /// Cuts or heals every message between two groups.
+    /// Drops every message from one group to another, or both ways, until the cuts are cleared.
     pub fn cut(&mut self, from: &[usize], to: &[usize], both_ways: bool) {
         for a in from {
             for b in to {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Silences the backend server beside a node, or lets it come back.
+    /// Stops the backend server beside a node, or starts it again.
     pub fn toggle_server(&mut self, at: usize) {
         self.nodes[at].has_server = !self.nodes[at].has_server;
         if !self.nodes[at].has_server {
@@ -83,12 +83,12 @@
         }
     }
 
-    /// Lets every node's traffic threads report about `rate` requests per second a slice, unevenly.
+    /// Lets every node's traffic threads report `rate` requests per second a slice, within a fifth.
     pub fn measure_traffic(&mut self, rate: f32) {
         self.measure_uneven(|_| rate);
     }
 
-    /// Lets every node's traffic threads report requests per second by slice, give or take a fifth.
+    /// Lets every node's traffic threads report requests per second by slice, within a fifth.
     pub fn measure_uneven(&mut self, rate: impl Fn(&SliceId) -> f32) {
         for at in 0..self.nodes.len() {
             let slices: Vec<SliceId> = self.nodes[at].leases.leases.keys().cloned().collect();
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Ends every fault and starts what is down.
+    /// Ends every fault and starts the servers and nodes that are down.
     pub fn repair(&mut self) {
         self.faults = Faults::none();
         self.cuts.clear();
--- a/crates/core/tests/ownership/support/cluster_network.rs
+++ b/crates/core/tests/ownership/support/cluster_network.rs
@@ -1,4 +1,4 @@
-//! How the fakes pass on what nodes ask for.
+//! Delivery of messages, log records and server calls.
 
 use std::cmp::Reverse;
 use std::time::Duration;
--- a/crates/core/tests/ownership/support/cluster_view.rs
+++ b/crates/core/tests/ownership/support/cluster_view.rs
@@ -1,4 +1,4 @@
-//! What a test sees of the fakes.
+//! What a test reads from a cluster.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -53,7 +53,7 @@
             .collect()
     }
 
-    /// Returns the numbers of slices by which nodes divide the keys of the first service.
+    /// Returns the slice counts that the nodes' routing tables have for the first service.
     pub fn divisions(&self) -> BTreeSet<u32> {
         let service: ServiceName = "service-0".parse().unwrap();
         let counts = self.nodes.iter().filter_map(|node| {
@@ -71,7 +71,7 @@
         unserved.cloned()
     }
 
-    /// Returns the node that could send work of a slice now.
+    /// Returns the node that could send requests of a slice now.
     pub fn owner(&self, slice: &SliceId) -> Option<usize> {
         let owns = |node: &&FakeNode| {
             let lease = node.leases.leases.get(slice);
@@ -86,7 +86,7 @@
         self.slices.iter().map(owned).collect()
     }
 
-    /// Returns the node that was last established as controller, and still lives.
+    /// Returns the node that was last established as controller, if it still runs.
     pub fn controller(&self) -> Option<usize> {
         let established = self.history.iter().rev().find_map(|(_, at, happening)| {
             matches!(happening, Happening::ControllerEstablished { .. }).then_some(*at)
@@ -94,7 +94,7 @@
         established.filter(|at| self.nodes[*at].machine.is_some())
     }
 
-    /// Tells whether an answer to a node's probe is on its way.
+    /// Tells whether an answer to a node's probe is in flight.
     pub fn is_echo_in_flight(&self, to: usize) -> bool {
         self.queue.values().any(|(at, _, delivery)| {
             let Delivery::Message { message, .. } = delivery else {
@@ -104,7 +104,8 @@
         })
     }
 
-    /// Returns which running nodes are not in service by the table of which running node.
+    /// Returns pairs of running nodes of which the first one's routing table does not have the second
+    /// in service.
     pub fn unlisted(&self) -> Vec<(usize, usize)> {
         let running = || self.nodes.iter().filter(|node| node.is_running(self.now));
         let pairs = running().flat_map(|one| running().map(move |other| (one, other)));
@@ -133,7 +134,7 @@
         name.trim_start_matches("node-").parse().unwrap()
     }
 
-    /// Returns the deputies of the term in force, in order, the controller first.
+    /// Returns the controller and its deputies in the newest term, in order of rank.
     pub fn controllers(&self) -> Vec<usize> {
         let claims = self.log.entries.iter().filter_map(|entry| {
             let record: ControlRecord = serde_json::from_slice(&entry.data).unwrap();
@@ -142,7 +143,7 @@
                 _ => None,
             }
         });
-        // Of two claims of one term the first wins.
+        // The first claim of a term wins; `max_by_key` returns the last, so the order is reversed.
         let newest = claims.rev().max_by_key(|claim| claim.term).unwrap();
         let number = |address: std::net::SocketAddr| usize::from(address.port()) - 10_000;
         newest
--- a/crates/core/tests/ownership/support/delivery.rs
+++ b/crates/core/tests/ownership/support/delivery.rs
@@ -1,4 +1,4 @@
-//! What the network of fakes has in flight.
+//! Events in flight in a simulated cluster.
 
 use quetzalrack_core::boundary::AppendOutcome;
 use quetzalrack_core::ids::Fence;
@@ -6,7 +6,7 @@
 use quetzalrack_core::ids::SliceId;
 use quetzalrack_core::ownership::PeerMessage;
 
-/// Is something that happens to one life of a node at some moment.
+/// Is an event that one incarnation of a node receives at a set time.
 #[derive(Clone, Debug)]
 pub enum Delivery {
     Tick,
--- a/crates/core/tests/ownership/support/fake_log.rs
+++ b/crates/core/tests/ownership/support/fake_log.rs
@@ -1,4 +1,4 @@
-//! The platform's log service as a fake.
+//! A fake of the platform's log service.
 
 use quetzalrack_core::boundary::LogEntry;
 use quetzalrack_core::ids::Offset;
--- a/crates/core/tests/ownership/support/fake_node.rs
+++ b/crates/core/tests/ownership/support/fake_node.rs
@@ -1,4 +1,4 @@
-//! One node among the fakes.
+//! A simulated host.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
     pub machine: Option<Ownership>,
     pub incarnation: u64,
     pub paused_until: u64,
-    /// What came while the node was paused.
+    /// Events that arrived while the node was paused.
     pub deferred: VecDeque<Delivery>,
     pub clock_offset: u64,
     /// How much faster than true time the clock runs, in parts per million.
--- a/crates/core/tests/ownership/support/faults.rs
+++ b/crates/core/tests/ownership/support/faults.rs
@@ -1,6 +1,6 @@
-//! What the network does to messages.
+//! Faults of the network and of the log.
 
-/// States the chance of each fault of a message, in percent, and its delays in microseconds.
+/// Sets the probability of each fault of a message, in percent, and the delays of messages.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     pub lost: u32,
@@ -8,7 +8,7 @@
     pub late: u32,
     pub delay_us: u64,
     pub late_us: u64,
-    /// The chance that an append's answer is lost, in percent.
+    /// Probability that an append's answer is lost, in percent.
     pub answer_lost: u32,
 }
 
--- a/crates/core/tests/ownership/support/layout.rs
+++ b/crates/core/tests/ownership/support/layout.rs
@@ -13,13 +13,13 @@
 use quetzalrack_core::intent::InForce;
 use serde_json::json;
 
-/// Describes an environment of `zones` zones with one backend server of each service per zone.
+/// Describes an environment with the same backend servers in each zone.
 #[derive(Clone, Debug)]
 pub struct Layout {
     pub zones: usize,
     pub services: usize,
     pub slices: u32,
-    /// How many backend servers of a service stand in each zone.
+    /// Number of backend servers of each service in each zone.
     pub per_zone: usize,
     pub version: u64,
     pub zones_out: BTreeSet<usize>,
@@ -45,7 +45,7 @@
         self.zones * self.services * self.per_zone
     }
 
-    /// Names every slice.
+    /// Returns every slice.
     pub fn all_slices(&self) -> Vec<SliceId> {
         let name = |service: usize| format!("service-{service}").parse().unwrap();
         let slices = (0..self.services).flat_map(|service| {
--- a/crates/core/tests/ownership/support/mod.rs
+++ b/crates/core/tests/ownership/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small seeded network of fakes around the ownership state machine.
+//! A seeded simulation of a cluster around the ownership state machine.
 
 mod checker;
 mod cluster;
--- a/crates/core/tests/ownership/support/schedule.rs
+++ b/crates/core/tests/ownership/support/schedule.rs
@@ -9,12 +9,12 @@
 use super::Layout;
 use super::Step;
 
-/// How many nodes, and so voters, a schedule has.
+/// Number of nodes, which are all voters.
 const NODES: usize = 5;
-/// The longest delay of a late message: three lease times.
+/// Longest extra delay of a late message: three lease times.
 const MAX_LATE_US: u64 = 3_600_000;
 
-/// Is a run of a small cell under random faults.
+/// Describes a run of a small cluster with random faults.
 #[derive(Clone, Debug)]
 pub struct Schedule {
     pub seed: u64,
@@ -38,7 +38,7 @@
         )
     }
 
-    /// Runs the schedule under the given rules and returns the cell after it.
+    /// Runs the schedule under the given rules and returns the cluster at its end.
     pub fn run(&self, rules: SafetyRules) -> Cluster {
         let mut cluster = Cluster::new(self.seed, Layout::new(NODES, 1, 6));
         cluster.rules = rules;
--- a/crates/core/tests/ownership/support/step.rs
+++ b/crates/core/tests/ownership/support/step.rs
@@ -4,7 +4,7 @@
 
 use super::Cluster;
 
-/// Is a fault that a schedule causes.
+/// Is a fault, its end, or a run between them.
 #[derive(Clone, Debug)]
 pub enum Step {
     Run { span_ms: u64 },
@@ -24,7 +24,7 @@
 }
 
 impl Step {
-    /// Draws one step for a cell of `nodes` nodes, each in a zone of its own.
+    /// Generates one step for a cluster of `nodes` nodes, each in a zone of its own.
     pub fn strategy(nodes: usize) -> impl Strategy<Value = Self> {
         let node = 0..nodes;
         prop_oneof![
@@ -45,7 +45,7 @@
         ]
     }
 
-    /// Causes the fault.
+    /// Applies the step.
     pub fn apply(&self, cluster: &mut Cluster) {
         let all: Vec<usize> = (0..cluster.nodes.len()).collect();
         match self {
--- a/crates/core/tests/ownership/support/traffic_count.rs
+++ b/crates/core/tests/ownership/support/traffic_count.rs
@@ -1,4 +1,4 @@
-//! How much a node sends and receives.
+//! Counts of a node's datagrams.
 
 /// Counts datagrams and their bytes, with the IP and UDP headers and with the version byte and
 /// signature that the wire crate adds.
--- a/crates/core/tests/ownership/zone_service.rs
+++ b/crates/core/tests/ownership/zone_service.rs
@@ -1,4 +1,4 @@
-//! An availability zone out of service and back.
+//! Availability zones taken out of service and put back.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +17,8 @@
         .count()
 }
 
-/// Counts every change of holder within a span, those that are undone included.
+/// Counts every change of holder within a span, also reverted ones, and returns it with the longest
+/// time in milliseconds that a slice had no holder.
 fn churn(cluster: &mut Cluster, span_ms: u64) -> (usize, u64) {
     let mut last = cluster.owners();
     let mut moves = 0;
@@ -44,8 +45,9 @@
 
 #[test]
 fn out_and_back() {
-    // Operators take a zone out: its nodes hand their slices over one by one without a break that
-    // callers notice, and nothing else moves. When it returns it gets its share back, no more.
+    // Operators take a zone out of service: its nodes hand over their slices one by one without an
+    // interruption that callers notice, and no other slice moves. Back in service it gets its former
+    // share, no more.
     let mut worst_ratio: f64 = 0.0;
     for seed in 0..20 {
         let mut cluster = Cluster::started(seed, Layout::new(4, 4, 16));
@@ -81,7 +83,7 @@
 
 #[test]
 fn server_out() {
-    // Operators take one backend server out; its slices move within seconds, nothing else does.
+    // Operators take one backend server out of service. Its slices move within seconds, no others.
     let mut cluster = Cluster::started(1, Layout::new(4, 2, 16));
     cluster.run(10_000);
     let before = cluster.owners();
