--- a/crates/core/src/boundary/backend_control.rs
+++ b/crates/core/src/boundary/backend_control.rs
@@ -1,4 +1,4 @@
-//! The control side of the backend server beside the node.
+//! Control calls to the backend server beside the node.
 
 use super::BoxFuture;
 use super::GrantOrder;
--- a/crates/core/src/boundary/clock.rs
+++ b/crates/core/src/boundary/clock.rs
@@ -5,7 +5,7 @@
 
 /// Reads the host's clocks.
 pub trait Clock: Send + Sync {
-    /// Reads the clock that counts suspended time.
+    /// Reads the boot-time clock, which also runs while the host is suspended.
     fn now(&self) -> Moment;
 
     /// Reads the calendar clock.
--- a/crates/core/src/boundary/grant_order.rs
+++ b/crates/core/src/boundary/grant_order.rs
@@ -12,6 +12,6 @@
 pub struct GrantOrder {
     /// The slice.
     pub slice: SliceId,
-    /// The fence; a backend server that checks refuses a lower one from then on.
+    /// The grant's fence; a backend server that checks fences refuses lower ones from then on.
     pub fence: Fence,
 }
--- a/crates/core/src/boundary/grant_outcome.rs
+++ b/crates/core/src/boundary/grant_outcome.rs
@@ -5,7 +5,7 @@
 /// Is the outcome of passing a grant to the backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantOutcome {
-    /// The backend server took it.
+    /// The backend server accepted the grant.
     Taken,
     /// The backend server knows a newer fence.
     Outdated(Fence),
--- a/crates/core/src/boundary/log_service.rs
+++ b/crates/core/src/boundary/log_service.rs
@@ -8,7 +8,7 @@
 use super::Stream;
 use crate::ids::Offset;
 
-/// Reaches the platform's append-only log, the only place where anything lasts.
+/// Accesses the platform's append-only log, the only persistent storage.
 pub trait LogService: Send + Sync {
     /// Appends one record, JSON text, to a stream.
     fn append<'a>(&'a self, stream: &'a Stream, data: Vec<u8>) -> BoxFuture<'a, AppendOutcome>;
--- a/crates/core/src/boundary/mod.rs
+++ b/crates/core/src/boundary/mod.rs
@@ -1,6 +1,6 @@
-//! Everything outside the decisions, as traits: the log, peers, the backend server and the clock.
+//! Traits for all external dependencies: the log, peers, the backend server and the clock.
 //!
-//! The node brings real ones, the tests small fakes, and a bench its own.
+//! The node has the real implementations, the tests small fakes, and benches their own.
 
 mod append_outcome;
 mod backend_control;
@@ -26,5 +26,5 @@
 
 use std::pin::Pin;
 
-/// Is a boxed future, so that the traits can be used as trait objects.
+/// Is a boxed future, which lets the traits be used as trait objects.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
--- a/crates/core/src/boundary/peer_link.rs
+++ b/crates/core/src/boundary/peer_link.rs
@@ -4,8 +4,8 @@
 
 use crate::ownership::PeerMessage;
 
-/// Sends messages to other nodes; any may be lost, doubled, delayed or overtaken.
+/// Sends messages to other nodes; they may be lost, duplicated, delayed or reordered.
 pub trait PeerLink: Send + Sync {
-    /// Sends a message without waiting for anything.
+    /// Sends a message without waiting for its delivery.
     fn send(&self, to: SocketAddr, message: &PeerMessage);
 }
--- a/crates/core/src/boundary/read_outcome.rs
+++ b/crates/core/src/boundary/read_outcome.rs
@@ -6,7 +6,7 @@
 /// Is the outcome of a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Records from the wanted offset on, possibly none.
+    /// Records from the requested offset on, possibly none.
     Entries {
         /// The records in order.
         entries: Vec<LogEntry>,
@@ -15,7 +15,7 @@
         /// Whether the stream ended there when it was read.
         at_end: bool,
     },
-    /// The wanted offset is past retention; this is the oldest one kept.
+    /// The record at the requested offset has expired; this is the oldest stored offset.
     Expired(Offset),
     /// The log service did not answer.
     Unavailable,
