--- a/crates/core/src/cluster/announcement.rs
+++ b/crates/core/src/cluster/announcement.rs
@@ -12,7 +12,7 @@
 use crate::ids::ServiceName;
 use crate::ids::SlotCount;
 
-/// Is what a backend server sends to the node beside it, at start and every half second after; the
+/// Is sent by a backend server to the node beside it, at start and then every half second; the
 /// system has no other list of backend servers.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
@@ -22,15 +22,15 @@
     pub service: ServiceName,
     /// Its name.
     pub server: ServerName,
-    /// Where it takes requests.
+    /// Where it accepts requests.
     pub address: SocketAddr,
-    /// Its life, which changes when it restarts.
+    /// Its incarnation, which changes when it restarts.
     pub incarnation: Incarnation,
-    /// How many requests it works on at once.
+    /// How many requests it processes concurrently.
     pub slots: SlotCount,
     /// How many connections it accepts.
     pub connections: ConnectionCount,
-    /// Whether it refuses an older fence.
+    /// Whether it refuses requests under an older fence.
     pub checks_fence: bool,
     /// Its condition.
     pub state: ServerState,
--- a/crates/core/src/cluster/lease.rs
+++ b/crates/core/src/cluster/lease.rs
@@ -8,9 +8,9 @@
 pub struct Lease {
     /// The grant's fence.
     pub fence: Fence,
-    /// When the holder stops serving, the safety margin already taken off.
+    /// When the holder stops serving; the safety margin is already subtracted.
     pub deadline: Moment,
-    /// Whether new requests are admitted; a slice that is being handed over only finishes.
+    /// Whether new requests are admitted; a slice being handed over only finishes earlier ones.
     pub admits: bool,
 }
 
--- a/crates/core/src/cluster/member.rs
+++ b/crates/core/src/cluster/member.rs
@@ -1,4 +1,4 @@
-//! One node as the others know it.
+//! The identity and addresses of a node.
 
 use std::net::SocketAddr;
 
@@ -11,26 +11,26 @@
 use crate::ids::ServiceName;
 use crate::ids::ZoneName;
 
-/// Identifies one life of a node and says where its parts listen.
+/// Identifies one incarnation of a node and holds its listening addresses.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct Member {
     /// The node's name.
     pub node: NodeName,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// The backend server beside it, once that has announced itself.
+    /// The backend server beside it, once it has announced itself.
     pub server: Option<ServerName>,
     /// The service of that backend server.
     pub service: Option<ServiceName>,
-    /// Where it takes callers' requests and those other nodes pass on.
+    /// Where it accepts callers' requests and requests forwarded by other nodes.
     pub traffic: SocketAddr,
-    /// Where it takes heartbeats, as datagrams.
+    /// Where it receives heartbeats, as datagrams.
     pub heartbeat: SocketAddr,
-    /// Where it takes rare calls of other nodes.
+    /// Where it accepts infrequent calls of other nodes.
     pub control: SocketAddr,
-    /// Where it takes operators' calls.
+    /// Where it accepts operators' calls.
     pub admin: SocketAddr,
 }
--- a/crates/core/src/cluster/routing_node.rs
+++ b/crates/core/src/cluster/routing_node.rs
@@ -1,4 +1,4 @@
-//! One node as an ingress sees it.
+//! A node's entry in the routing table.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,14 +7,15 @@
 use super::ServerState;
 use crate::ids::SlotCount;
 
-/// Says where a node is and how much its backend server bears, by the node's own count.
+/// Holds a node's addresses and the capacity and load of its backend server, as the node counts
+/// them.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct RoutingNode {
-    /// Who and where the node is.
+    /// The node's identity and addresses.
     pub member: Member,
-    /// Whether new work may be sent there: neither the zone nor the backend server is out, and the
-    /// node is not leaving.
+    /// Whether new requests may be sent there: neither the zone nor the backend server is out of
+    /// service, and the node is not shutting down.
     pub in_service: bool,
     /// The backend server's condition, as the node beside it judges it.
     pub state: ServerState,
--- a/crates/core/src/cluster/routing_version.rs
+++ b/crates/core/src/cluster/routing_version.rs
@@ -8,15 +8,15 @@
 use crate::ids::Rank;
 use crate::ids::Term;
 
-/// Orders routing tables; a node never replaces its table by an older one.
+/// Orders routing tables; a node never replaces its table with an older one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct RoutingVersion {
-    /// The term of the controller that made it.
+    /// The term of the controller that built the table.
     pub term: Term,
     /// That controller's rank.
     pub rank: Rank,
-    /// Counts that controller's tables.
+    /// Number of the table among that controller's tables.
     pub count: u64,
 }
 
--- a/crates/core/src/cluster/server_state.rs
+++ b/crates/core/src/cluster/server_state.rs
@@ -1,18 +1,18 @@
-//! What a backend server says of its own condition.
+//! The condition that a backend server announces.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Is the condition a backend server announces; it may lag or mislead, so it can lower what the
-/// neighbouring node sends but never raise it.
+/// Is the condition that a backend server announces; it may be late or wrong, so it can lower the
+/// load that the node beside it sends, but never raise it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ServerState {
-    /// Bears little until it has warmed up.
+    /// Takes little load until it has warmed up.
     Cold,
-    /// Bears its full load.
+    /// Takes its full load.
     Warm,
-    /// Finishes what it has and takes nothing new.
+    /// Finishes its requests and accepts no new ones.
     Draining,
 }
--- a/crates/core/src/cluster/service_slices.rs
+++ b/crates/core/src/cluster/service_slices.rs
@@ -9,13 +9,13 @@
 use crate::ids::NodeName;
 use crate::ids::SliceIndex;
 
-/// Says which slices a service has and which node holds each.
+/// Lists the slices of a service and the node that holds each.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ServiceSlices {
-    /// How many slices the keys are spread over by hash.
+    /// Number of slices over which keys are distributed by hash.
     pub count: u32,
-    /// Keys that are slices of their own because they are hot.
+    /// Hot keys, each of which has a slice of its own.
     pub hot: BTreeMap<KeyHash, SliceIndex>,
     /// The holder of each slice that has one.
     pub owners: BTreeMap<SliceIndex, NodeName>,
