--- a/crates/core/src/burn/latency_histogram.rs
+++ b/crates/core/src/burn/latency_histogram.rs
@@ -1,4 +1,4 @@
-//! The latencies of a route's answers.
+//! A histogram of the latencies of a route's answers.
 
 use std::fmt;
 use std::time::Duration;
@@ -14,17 +14,17 @@
 use serde::de::Error as _;
 use serde::ser::Error as _;
 
-/// The least latency told apart, in microseconds.
+/// Lowest latency that is distinguished.
 const LOWEST_US: u64 = 1;
-/// The greatest latency told apart, in microseconds: two minutes, above every deadline.
+/// Highest latency that is distinguished: two minutes, above every deadline.
 const HIGHEST_US: u64 = 120_000_000;
 /// Two significant digits keep a histogram under 20 KB while the error stays under 1%.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// The greatest encoded histogram accepted, in hexadecimal digits.
-const MAX_ENCODED: usize = 256 * 1024;
+/// Length limit of an encoded histogram, in hexadecimal digits.
+const MAX_HEX_DIGITS: usize = 256 * 1024;
 
-/// Counts latencies in microseconds; two can be added, and a later one of the same process can be
-/// reduced by an earlier one.
+/// Counts latencies in microseconds; two histograms can be added, and an earlier one of a process
+/// can be subtracted from a later one.
 #[derive(Clone, PartialEq)]
 pub struct LatencyHistogram(Histogram<u64>);
 
@@ -41,8 +41,8 @@
         let _ = self.0.add(&other.0);
     }
 
-    /// Returns what was counted since `earlier`, or nothing told apart when `earlier` is not an
-    /// earlier state of this histogram.
+    /// Returns the counts added since `earlier`, or all counts if `earlier` is not an earlier state
+    /// of this histogram.
     pub fn since(&self, earlier: &Self) -> Self {
         let mut rest = self.clone();
         match rest.0.subtract(&earlier.0) {
@@ -96,13 +96,13 @@
 }
 
 impl<'de> Deserialize<'de> for LatencyHistogram {
-    /// Reads it back; foreign bounds are refused because counts could not be added.
+    /// Reads the hexadecimal text; other bounds are refused because counts could not be added.
     fn deserialize<D>(deserializer: D) -> Result<Self, D::Error>
     where
         D: Deserializer<'de>,
     {
         let text = String::deserialize(deserializer)?;
-        if text.len() > MAX_ENCODED {
+        if text.len() > MAX_HEX_DIGITS {
             return Err(D::Error::custom("the histogram is too large"));
         }
         let bytes = hex::decode(text).map_err(D::Error::custom)?;
--- a/crates/core/src/burn/mod.rs
+++ b/crates/core/src/burn/mod.rs
@@ -1,6 +1,6 @@
-//! The counts from which service-level burn is computed.
+//! Counters from which the error budget burn of services is computed.
 //!
-//! Nodes count, and `quetzalrack-report` adds; `docs/operations/report.md` explains the figures.
+//! Nodes count and `quetzalrack-report` adds up the counts; `docs/operations/report.md` explains the figures.
 
 mod latency_histogram;
 mod node_sample;
--- a/crates/core/src/burn/node_sample.rs
+++ b/crates/core/src/burn/node_sample.rs
@@ -1,4 +1,4 @@
-//! Everything that one node counted.
+//! A reading of a node's counters.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -21,18 +21,18 @@
 pub struct NodeSample {
     /// The node.
     pub node: NodeName,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its availability zone.
     pub zone: ZoneName,
     /// When the counters were read, on the node's calendar clock.
     pub at: WallTime,
-    /// What callers got, by route.
+    /// Outcomes of callers' requests, by route.
     pub routes: Vec<RouteSample>,
-    /// What the backend server beside it was given.
+    /// Requests sent to the backend server beside it.
     #[serde(default)]
     pub work: Vec<WorkSample>,
-    /// What happened to slices, by service.
+    /// Changes of slice ownership, by service.
     #[serde(default)]
     pub slices: Vec<SliceSample>,
 }
--- a/crates/core/src/burn/request_outcome.rs
+++ b/crates/core/src/burn/request_outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller got.
+//! The outcome of a caller's request.
 
 use std::fmt;
 
@@ -10,15 +10,15 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestOutcome {
-    /// A whole answer within the objective's latency.
+    /// A complete answer within the objective's latency.
     Served,
-    /// A whole answer, but slower than the objective.
+    /// A complete answer, but slower than the objective.
     Late,
-    /// A refusal: the work surely did not run.
+    /// A refusal: the request certainly did not run.
     Refused,
-    /// Whether the work ran is not known.
+    /// Whether the request ran is unknown.
     Unknown,
-    /// The work ran and failed.
+    /// The request ran and failed.
     Failed,
 }
 
--- a/crates/core/src/burn/route_counts.rs
+++ b/crates/core/src/burn/route_counts.rs
@@ -18,16 +18,16 @@
     pub late: u64,
     /// Refused without having run.
     pub refused: u64,
-    /// Not known whether it ran.
+    /// Unknown whether it ran.
     pub unknown: u64,
     /// Ran and failed.
     pub failed: u64,
-    /// The latencies of those served or late.
+    /// Latencies of the requests counted as served or late.
     pub latency: LatencyHistogram,
 }
 
 impl RouteCounts {
-    /// Counts one request; its latency is kept when the caller got a whole answer.
+    /// Counts one request, and its latency if the caller got a complete answer.
     pub fn record(&mut self, outcome: RequestOutcome, latency: Duration) {
         *self.slot(outcome) += 1;
         if matches!(outcome, RequestOutcome::Served | RequestOutcome::Late) {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Adds another's counts.
+    /// Adds the counts of `other`.
     pub fn merge(&mut self, other: &Self) {
         self.served += other.served;
         self.late += other.late;
@@ -45,7 +45,7 @@
         self.latency.merge(&other.latency);
     }
 
-    /// Returns what was counted since `earlier`, an earlier state of the same process.
+    /// Returns the counts added since `earlier`, an earlier state of the same process.
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
             served: self.served.saturating_sub(earlier.served),
--- a/crates/core/src/burn/route_sample.rs
+++ b/crates/core/src/burn/route_sample.rs
@@ -7,7 +7,7 @@
 use crate::ids::RouteName;
 use crate::ids::ServiceName;
 
-/// Is what one node counted on one route as ingress, where the caller's outcome is known.
+/// Holds one node's counts of one route as ingress, where the caller's outcome is known.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct RouteSample {
--- a/crates/core/src/burn/slice_sample.rs
+++ b/crates/core/src/burn/slice_sample.rs
@@ -1,20 +1,20 @@
-//! What happened to the slices of one service at one node.
+//! One node's counts of ownership changes of a service's slices.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::ids::ServiceName;
 
-/// Counts changes of ownership that one node took part in, since it started; churn and unavailable
-/// time are computed from these.
+/// Counts the ownership changes that involved one node since it started; churn and unavailable time
+/// are computed from these counts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct SliceSample {
     /// The service.
     pub service: ServiceName,
-    /// Slices this node was granted.
+    /// Slices that were granted to this node.
     pub granted: u64,
-    /// Slices this node gave up by a graceful move.
+    /// Slices that this node released in a graceful move.
     pub released: u64,
     /// Slices whose lease lapsed at this node.
     pub lapsed: u64,
--- a/crates/core/src/burn/work_sample.rs
+++ b/crates/core/src/burn/work_sample.rs
@@ -1,4 +1,4 @@
-//! The work that one backend server was given.
+//! A count of the requests sent to one backend server.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,7 +6,8 @@
 use crate::ids::ServerName;
 use crate::ids::ServiceName;
 
-/// Is what one node sent to the backend server beside it; imbalance is computed from these.
+/// Counts the requests that one node sent to the backend server beside it; imbalance is computed
+/// from these counts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct WorkSample {
