--- a/crates/core/src/time/mod.rs
+++ b/crates/core/src/time/mod.rs
@@ -1,4 +1,4 @@
-//! Time as the decisions see it: handed in by the caller, never read.
+//! Types of time; the state machines get it from their caller and never read a clock.
 
 mod milliseconds;
 mod moment;
--- a/crates/core/src/time/moment.rs
+++ b/crates/core/src/time/moment.rs
@@ -1,4 +1,4 @@
-//! A reading of a clock that counts suspended time.
+//! A reading of a clock that also runs while the host is suspended.
 
 use std::fmt;
 use std::ops::Add;
@@ -7,18 +7,18 @@
 
 /// Is a reading of the host's boot-time clock, in nanoseconds since the host started.
 ///
-/// That clock goes on while the host is suspended, so a holder that was paused finds its leases
+/// That clock also runs while the host is suspended, so the leases of a holder that was paused are
 /// lapsed; see `docs/design/ownership.md`. Readings of two hosts are never compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Moment(pub u64);
 
 impl Moment {
-    /// Returns the time since `earlier`, or zero if `earlier` lies ahead.
+    /// Returns the time since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_nanos(self.0.saturating_sub(earlier.0))
     }
 
-    /// Returns the moment `span` before this one, or the clock's origin.
+    /// Returns the moment `span` before this one, or the clock's origin if that is later.
     pub fn before(self, span: Duration) -> Self {
         Self(self.0.saturating_sub(nanoseconds(span)))
     }
