--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
-//! Every decision of quetzalrack, free of clocks, sockets and threads.
+//! The decision logic of quetzalrack, without clocks, sockets and threads.
 //!
 //! Each decision is a state machine with one entry, `step(now, event) -> Vec<Action>`, so that the
-//! same code runs in the node, in the tests and in any bench. The design is described in
+//! same code runs in the node, in tests and in benches. The design is described in
 //! `docs/ARCHITECTURE.md` and in `docs/design/`.
 
 pub mod boundary;
