--- a/crates/rack/tests/soak/clients.rs
+++ b/crates/rack/tests/soak/clients.rs
@@ -19,17 +19,17 @@
 use crate::support::echo_of;
 
 /// How long a client waits.
-const PATIENCE: Duration = Duration::from_millis(1_500);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How much longer an answer may take until it counts as missing; the machine is busy.
-const GRACE: Duration = Duration::from_millis(1_500);
+const RESPONSE_GRACE: Duration = Duration::from_millis(1_500);
 /// After this time without an answer a request has surely been read by the process.
-const TAKEN: Duration = Duration::from_millis(60);
+const REQUEST_READ_TIME: Duration = Duration::from_millis(60);
 /// The pause between two requests of one client.
-const PAUSE: Duration = Duration::from_millis(15);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(15);
 
 /// Is a host as clients know it.
 #[derive(Clone)]
-pub struct Entrance {
+pub struct HostEndpoint {
     pub service: String,
     pub address: SocketAddr,
     /// When something other than an orderly end last happened to the host or to its connections.
@@ -55,7 +55,7 @@
 
 /// Is a request without an answer, with times on the clock of the programs' lines.
 #[derive(Clone, Debug)]
-struct Silence {
+struct UnansweredRequest {
     id: String,
     place: usize,
     sent: SystemTime,
@@ -64,29 +64,29 @@
 }
 
 /// Is a time in which a host had no process.
-pub type Absence = (SystemTime, SystemTime);
+pub type Downtime = (SystemTime, SystemTime);
 
 /// Is a crowd of clients.
 pub struct Clients {
-    entrances: Vec<Entrance>,
+    endpoints: Vec<HostEndpoint>,
     truth: Arc<Truth>,
     seed: u64,
     next: AtomicU64,
     over: AtomicBool,
     outcomes: Mutex<HashMap<String, Outcome>>,
-    silences: Mutex<Vec<Silence>>,
+    unanswered: Mutex<Vec<UnansweredRequest>>,
 }
 
 impl Clients {
-    pub fn new(seed: u64, entrances: Vec<Entrance>, truth: Arc<Truth>) -> Arc<Self> {
+    pub fn new(seed: u64, endpoints: Vec<HostEndpoint>, truth: Arc<Truth>) -> Arc<Self> {
         Arc::new(Self {
-            entrances,
+            endpoints,
             truth,
             seed,
             next: AtomicU64::new(0),
             over: AtomicBool::new(false),
             outcomes: Mutex::default(),
-            silences: Mutex::default(),
+            unanswered: Mutex::default(),
         })
     }
 
@@ -95,10 +95,10 @@
         let mut random = SmallRng::seed_from_u64(self.seed << 8 ^ number);
         let http = reqwest::Client::builder().no_proxy().build().unwrap();
         while !self.over.load(Ordering::Relaxed) {
-            let place = random.random_range(0..self.entrances.len());
+            let place = random.random_range(0..self.endpoints.len());
             let kind = [Kind::Keyed, Kind::Plain, Kind::Once][random.random_range(0..3)];
-            self.ask(&http, place, kind, random.random()).await;
-            tokio::time::sleep(PAUSE).await;
+            self.request(&http, place, kind, random.random()).await;
+            tokio::time::sleep(REQUEST_INTERVAL).await;
         }
     }
 
@@ -110,13 +110,13 @@
     /// Tells whether a keyed and a plain request are served at every host that is still there.
     pub async fn all_served(&self, keys: &[u16]) -> bool {
         let http = reqwest::Client::builder().no_proxy().build().unwrap();
-        let here = |place: &usize| !self.entrances[*place].lost.load(Ordering::Relaxed);
-        for place in (0..self.entrances.len()).filter(here) {
+        let here = |place: &usize| !self.endpoints[*place].lost.load(Ordering::Relaxed);
+        for place in (0..self.endpoints.len()).filter(here) {
             let asks = keys
                 .iter()
-                .map(|key| self.ask(&http, place, Kind::Keyed, *key));
+                .map(|key| self.request(&http, place, Kind::Keyed, *key));
             let keyed = futures::future::join_all(asks).await;
-            let plain = self.ask(&http, place, Kind::Plain, 0).await;
+            let plain = self.request(&http, place, Kind::Plain, 0).await;
             if keyed
                 .into_iter()
                 .chain([plain])
@@ -137,32 +137,38 @@
         (served.count(), outcomes.len())
     }
 
-    async fn ask(&self, http: &reqwest::Client, place: usize, kind: Kind, key: u16) -> Option<u16> {
-        let entrance = &self.entrances[place];
+    async fn request(
+        &self,
+        http: &reqwest::Client,
+        place: usize,
+        kind: Kind,
+        key: u16,
+    ) -> Option<u16> {
+        let endpoint = &self.endpoints[place];
         let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let id = format!("{}-{number}-{}", self.seed, entrance.service);
+        let id = format!("{}-{number}-{}", self.seed, endpoint.service);
         let path = match kind {
             Kind::Keyed => "keyed",
             Kind::Plain => "plain",
             Kind::Once => "once",
         };
-        let url = format!("http://{}/{path}/1", entrance.address);
+        let url = format!("http://{}/{path}/1", endpoint.address);
         let request = match kind {
             Kind::Once => http.post(url).body(id.clone()),
             Kind::Keyed => http.get(url).header("x-shard-key", key),
             Kind::Plain => http.get(url),
         };
-        let patience = PATIENCE.as_millis().to_string();
+        let patience = CLIENT_TIMEOUT.as_millis().to_string();
         let request = request
             .header("host", "shop.example")
             .header("x-request-id", &id)
             .header("x-deadline-ms", patience)
-            .timeout(PATIENCE + GRACE);
+            .timeout(CLIENT_TIMEOUT + RESPONSE_GRACE);
         let sent = Instant::now();
         let status = match request.send().await {
-            Ok(answer) => self.judge(&id, answer).await,
+            Ok(answer) => self.check_response(&id, answer).await,
             Err(error) => {
-                self.judge_silence(&id, place, sent, &error);
+                self.record_unanswered(&id, place, sent, &error);
                 None
             }
         };
@@ -171,7 +177,7 @@
         status
     }
 
-    async fn judge(&self, id: &str, answer: reqwest::Response) -> Option<u16> {
+    async fn check_response(&self, id: &str, answer: reqwest::Response) -> Option<u16> {
         let status = answer.status().as_u16();
         let stamp = answer.headers().get("x-server-stamp").cloned();
         let named = answer.headers().get("x-request-id").cloned();
@@ -185,28 +191,28 @@
                 .any(|run| Some(format!("stamp-of-{}", run.server)) == stamp);
             if !ran || body != echo_of(id) || named.is_none_or(|named| named != id) {
                 self.truth
-                    .broken(format!("{id} got another's answer, {stamp:?}"));
+                    .record_violation(format!("{id} got another's answer, {stamp:?}"));
             }
         }
         if status == 404 {
             self.truth
-                .broken(format!("{id} was told that there is no such route"));
+                .record_violation(format!("{id} was told that there is no such route"));
         }
         Some(status)
     }
 
     /// An orderly end of a process is no reason for a client to get no answer.
-    fn judge_silence(&self, id: &str, place: usize, sent: Instant, error: &reqwest::Error) {
-        let entrance = &self.entrances[place];
-        let calm_since = *entrance.disturbed.lock().unwrap() + Duration::from_secs(4);
+    fn record_unanswered(&self, id: &str, place: usize, sent: Instant, error: &reqwest::Error) {
+        let endpoint = &self.endpoints[place];
+        let calm_since = *endpoint.disturbed.lock().unwrap() + Duration::from_secs(4);
         let after = sent.elapsed();
         // Nobody is there to answer; a busy machine takes a while to say so.
-        if entrance.lost.load(Ordering::Relaxed) {
+        if endpoint.lost.load(Ordering::Relaxed) {
             return;
         }
         // Sooner it may have crossed the end of the process, or met its port without one.
-        if after > TAKEN && sent > calm_since {
-            self.silences.lock().unwrap().push(Silence {
+        if after > REQUEST_READ_TIME && sent > calm_since {
+            self.unanswered.lock().unwrap().push(UnansweredRequest {
                 id: id.to_owned(),
                 place,
                 sent: SystemTime::now() - after,
@@ -216,17 +222,17 @@
     }
 
     /// Checks that each request without an answer was sent while its host had no process.
-    pub fn check_silences<A>(&self, absences: A)
+    pub fn check_unanswered_requests<A>(&self, downtimes: A)
     where
-        A: Fn(usize) -> Vec<Absence>,
+        A: Fn(usize) -> Vec<Downtime>,
     {
-        for silence in self.silences.lock().unwrap().iter() {
-            let absences = absences(silence.place);
-            let met = |(from, to): &Absence| silence.sent >= *from && silence.sent <= *to;
-            if !absences.iter().any(met) {
-                let Silence { id, place, .. } = silence;
-                println!("{id} was sent to host {place} at {:?}", silence.sent);
-                self.truth.broken(silence.what.clone());
+        for request in self.unanswered.lock().unwrap().iter() {
+            let downtimes = downtimes(request.place);
+            let met = |(from, to): &Downtime| request.sent >= *from && request.sent <= *to;
+            if !downtimes.iter().any(met) {
+                let UnansweredRequest { id, place, .. } = request;
+                println!("{id} was sent to host {place} at {:?}", request.sent);
+                self.truth.record_violation(request.what.clone());
             }
         }
     }
@@ -237,13 +243,13 @@
             let runs = self.truth.runs(id);
             if outcome.kind == Kind::Once && runs.len() > 1 {
                 self.truth
-                    .broken(format!("{id} ran more than once: {runs:?}"));
+                    .record_violation(format!("{id} ran more than once: {runs:?}"));
             }
             let promised = matches!(outcome.status, Some(408 | 421 | 429 | 503));
             if promised && !runs.is_empty() {
                 let status = outcome.status;
                 self.truth
-                    .broken(format!("{id} was told {status:?}, and ran: {runs:?}"));
+                    .record_violation(format!("{id} was told {status:?}, and ran: {runs:?}"));
             }
         }
     }
--- a/crates/rack/tests/soak/fleet.rs
+++ b/crates/rack/tests/soak/fleet.rs
@@ -19,12 +19,12 @@
 use tempfile::TempDir;
 
 use crate::clients::Clients;
-use crate::clients::Entrance;
+use crate::clients::HostEndpoint;
 use crate::script;
+use crate::script::Fault;
 use crate::script::Link;
 use crate::script::LinkFault;
-use crate::script::StoreTrouble;
-use crate::script::Trouble;
+use crate::script::StoreFaultKind;
 use crate::support::Lines;
 use crate::support::NodeProcess;
 use crate::support::ServerPlan;
@@ -36,19 +36,19 @@
 use crate::support::settings;
 
 /// How many clients there are.
-const CLIENTS: u64 = 24;
+const CLIENT_COUNT: u64 = 24;
 /// The work of a request.
-const WORK: Duration = Duration::from_millis(20);
+const SERVICE_TIME: Duration = Duration::from_millis(20);
 /// How long a fleet may take to start, and to serve everything again after the last fault: founding
 /// a leadership anew when the recorded majority is gone takes 20 s at most.
-const SETTLED: Duration = Duration::from_secs(25);
+const SERVED_TIMEOUT: Duration = Duration::from_secs(25);
 /// How long nothing more may reach a server that has left or whose zone is emptied.
-const DRAIN: Duration = Duration::from_millis(2_500);
+const DRAIN_TIME: Duration = Duration::from_millis(2_500);
 /// How long a process may take to end that is told to leave: the grace time of its settings, and a
 /// moment for the busy machine.
-const ENDS: Duration = Duration::from_millis(7_500);
+const EXIT_TIMEOUT: Duration = Duration::from_millis(7_500);
 /// Keys that are asked for to know whether all are served.
-const SAMPLE: [u16; 8] = [0, 9_000, 18_000, 27_000, 36_000, 45_000, 54_000, 65_535];
+const SAMPLE_KEYS: [u16; 8] = [0, 9_000, 18_000, 27_000, 36_000, 45_000, 54_000, 65_535];
 
 /// Is one host.
 pub(super) struct Host {
@@ -69,14 +69,14 @@
     store: StandInStore,
     truth: Arc<Truth>,
     pub(super) hosts: Vec<Host>,
-    entrances: Vec<Entrance>,
+    endpoints: Vec<HostEndpoint>,
     version: u64,
-    lives: u32,
+    incarnations: u32,
     _folder: TempDir,
 }
 
 /// Is something that is to be undone or looked at later.
-enum Later {
+enum Recovery {
     Start(usize),
     Continue(usize),
     /// The process that is to end, and since when it was told.
@@ -102,9 +102,9 @@
             store,
             truth: Arc::default(),
             hosts: Vec::new(),
-            entrances: Vec::new(),
+            endpoints: Vec::new(),
             version: 1,
-            lives: 0,
+            incarnations: 0,
             _folder: folder,
         };
         for place in 0..hosts {
@@ -160,16 +160,16 @@
             id: format!("server-{place}"),
             service: service.to_owned(),
             keyed: service == "keyed",
-            listens: server,
-            told: at(Link::Server),
+            listen: server,
+            advertised: at(Link::Server),
             control: at(Link::Heartbeats),
         };
         let server = StandInServer::spawn(plan, Arc::clone(&self.truth)).await;
         server.set_echo();
-        server.set_work(WORK);
+        server.set_service_time(SERVICE_TIME);
         let disturbed = Arc::new(Mutex::new(Instant::now()));
         let lost = Arc::new(AtomicBool::new(false));
-        self.entrances.push(Entrance {
+        self.endpoints.push(HostEndpoint {
             service: service.to_owned(),
             address: at(Link::Clients),
             disturbed: Arc::clone(&disturbed),
@@ -191,40 +191,43 @@
     }
 
     /// Plays the script of the seed and returns the promises that were broken.
-    pub async fn play(&mut self) -> Vec<String> {
-        let clients = Clients::new(self.seed, self.entrances.clone(), Arc::clone(&self.truth));
-        self.settle(&clients, "after the start").await;
-        let running = (0..CLIENTS).map(|number| tokio::spawn(Arc::clone(&clients).run(number)));
+    pub async fn run(&mut self) -> Vec<String> {
+        let clients = Clients::new(self.seed, self.endpoints.clone(), Arc::clone(&self.truth));
+        self.wait_until_served(&clients, "after the start").await;
+        let running =
+            (0..CLIENT_COUNT).map(|number| tokio::spawn(Arc::clone(&clients).run(number)));
         let running: Vec<_> = running.collect();
-        self.play_script().await;
-        let took = self.settle(&clients, "after the last fault").await;
+        self.run_script().await;
+        let took = self
+            .wait_until_served(&clients, "after the last fault")
+            .await;
         clients.end();
         for client in running {
             client.await.unwrap();
         }
         // What was given up may still be worked on for a moment.
-        tokio::time::sleep(WORK * 10).await;
+        tokio::time::sleep(SERVICE_TIME * 10).await;
         clients.check_all();
-        clients.check_silences(|place| self.absences(place));
+        clients.check_unanswered_requests(|place| self.downtimes(place));
         let (served, all) = clients.served();
         println!(
             "seed {}: {served} of {all} served, settled after {took:?}",
             self.seed
         );
-        let broken = self.truth.all_broken();
+        let broken = self.truth.violations();
         if !broken.is_empty() {
             self.keep_logs();
         }
         broken
     }
 
-    async fn play_script(&mut self) {
+    async fn run_script(&mut self) {
         let began = Instant::now();
-        let mut later: Vec<(Instant, Later)> = Vec::new();
-        for (at, trouble) in script::draw(self.seed, self.hosts.len()) {
+        let mut later: Vec<(Instant, Recovery)> = Vec::new();
+        for (at, fault) in script::draw(self.seed, self.hosts.len()) {
             self.wait_until(began + at, &mut later).await;
-            println!("seed {} {at:?} {trouble:?}", self.seed);
-            let undo = self.begin(trouble);
+            println!("seed {} {at:?} {fault:?}", self.seed);
+            let undo = self.start_fault(fault);
             later.extend(undo.map(|(time, undo)| (Instant::now() + time, undo)));
         }
         while let Some(last) = later.iter().map(|(at, _)| *at).max() {
@@ -232,7 +235,7 @@
         }
     }
 
-    async fn wait_until(&mut self, end: Instant, later: &mut Vec<(Instant, Later)>) {
+    async fn wait_until(&mut self, end: Instant, later: &mut Vec<(Instant, Recovery)>) {
         loop {
             let now = Instant::now();
             let due = later.iter().position(|(at, _)| *at <= now);
@@ -249,71 +252,71 @@
         }
     }
 
-    fn begin(&mut self, trouble: Trouble) -> Option<(Duration, Later)> {
-        match trouble {
-            Trouble::Kill(place, time) => {
+    fn start_fault(&mut self, fault: Fault) -> Option<(Duration, Recovery)> {
+        match fault {
+            Fault::Kill(place, time) => {
                 self.kill(place);
-                Some((time, Later::Start(place)))
+                Some((time, Recovery::Start(place)))
             }
-            Trouble::KillMost(time) => {
+            Fault::KillMost(time) => {
                 for place in 1..self.hosts.len() {
                     self.kill(place);
                 }
-                Some((time, Later::Start(usize::MAX)))
+                Some((time, Recovery::Start(usize::MAX)))
             }
-            Trouble::Pause(place, time) => {
-                self.disturb(place);
+            Fault::Pause(place, time) => {
+                self.record_disturbance(place);
                 self.signal(place, Signal::STOP);
-                Some((time, Later::Continue(place)))
+                Some((time, Recovery::Continue(place)))
             }
-            Trouble::Leave(place) => {
+            Fault::Leave(place) => {
                 // A process that stands still hears nothing.
                 self.signal(place, Signal::CONT);
                 self.signal(place, Signal::TERM);
                 let id = self.hosts[place].process.as_ref()?.id();
-                let ended = Later::StartOnceEnded(place, id, Instant::now());
+                let ended = Recovery::StartOnceEnded(place, id, Instant::now());
                 Some((Duration::from_millis(50), ended))
             }
-            Trouble::Lose(place) => {
-                self.lose(place);
+            Fault::Lose(place) => {
+                self.remove_host(place);
                 None
             }
-            Trouble::Hup(place) => {
+            Fault::Hup(place) => {
                 self.signal(place, Signal::HUP);
                 None
             }
-            Trouble::Crash(place, time) => {
+            Fault::Crash(place, time) => {
                 self.set_stream(place, Link::Server, refusing());
                 self.stream(place, Link::Server).cut();
-                self.hosts[place].server.die();
-                Some((time, Later::Reborn(place)))
+                self.hosts[place].server.crash();
+                Some((time, Recovery::Reborn(place)))
             }
-            Trouble::Drain(place) => {
+            Fault::Drain(place) => {
                 let server = &self.hosts[place].server;
                 server.drain();
-                Some((DRAIN, Later::Replace(place, server.life())))
+                Some((DRAIN_TIME, Recovery::Replace(place, server.incarnation())))
             }
-            Trouble::LoseAnswers(place, time) => {
-                self.hosts[place].server.lose_answers(true);
-                Some((time, Later::Answers(place)))
+            Fault::LoseAnswers(place, time) => {
+                self.hosts[place].server.drop_responses(true);
+                Some((time, Recovery::Answers(place)))
             }
-            Trouble::Slow(place, time) => {
-                self.hosts[place].server.set_work(WORK * 30);
-                Some((time, Later::Fast(place)))
+            Fault::Slow(place, time) => {
+                self.hosts[place].server.set_service_time(SERVICE_TIME * 30);
+                Some((time, Recovery::Fast(place)))
             }
-            Trouble::Link(place, link, fault, time) => {
-                self.harm(place, link, fault);
-                Some((time, Later::Heal(place, link)))
+            Fault::Link(place, link, fault, time) => {
+                self.set_link_fault(place, link, fault);
+                Some((time, Recovery::Heal(place, link)))
             }
-            Trouble::Store(trouble, time) => {
-                self.store.set_faults(store_faults(trouble));
-                Some((time, Later::StoreHeals))
+            Fault::Store(fault, time) => {
+                self.store.set_faults(store_faults(fault));
+                Some((time, Recovery::StoreHeals))
             }
-            Trouble::Evacuate(zone, time) => {
+            Fault::Evacuate(zone, time) => {
                 self.store.write(&format!("evacuate/zone-{zone}"), "{}");
-                Some((time, Later::Return(zone)))
+                Some((time, Recovery::Return(zone)))
             }
-            Trouble::Config => {
+            Fault::Config => {
                 self.version += 1;
                 self.store.write("config", &config(self.version, 1_000));
                 None
@@ -321,36 +324,45 @@
         }
     }
 
-    async fn undo(&mut self, undo: Later) -> Option<(Duration, Later)> {
+    async fn undo(&mut self, undo: Recovery) -> Option<(Duration, Recovery)> {
         match undo {
-            Later::Start(usize::MAX) => {
+            Recovery::Start(usize::MAX) => {
                 for place in 1..self.hosts.len() {
                     self.start_node(place);
                 }
             }
-            Later::Start(place) => self.start_node(place),
-            Later::Continue(place) => {
+            Recovery::Start(place) => self.start_node(place),
+            Recovery::Continue(place) => {
                 self.signal(place, Signal::CONT);
-                self.disturb(place);
+                self.record_disturbance(place);
             }
-            Later::StartOnceEnded(place, id, since) => return self.await_end(place, id, since),
-            Later::Reborn(place) if self.hosts[place].lost.load(Ordering::Relaxed) => {}
-            Later::Reborn(place) => {
-                self.hosts[place].server.reborn(&format!("server-{place}"));
+            Recovery::StartOnceEnded(place, id, since) => {
+                return self.restart_once_ended(place, id, since);
+            }
+            Recovery::Reborn(place) if self.hosts[place].lost.load(Ordering::Relaxed) => {}
+            Recovery::Reborn(place) => {
+                self.hosts[place]
+                    .server
+                    .restart_as(&format!("server-{place}"));
                 self.set_stream(place, Link::Server, StreamFaults::default());
             }
-            Later::Replace(place, life) => self.replace(place, &life).await,
-            Later::Answers(place) => self.hosts[place].server.lose_answers(false),
-            Later::Fast(place) => self.hosts[place].server.set_work(WORK),
-            Later::Heal(place, link) => self.heal(place, link),
-            Later::StoreHeals => self.store.set_faults(StoreFaults::default()),
-            Later::Return(zone) => self.store.write(&format!("evacuate/zone-{zone}"), ""),
+            Recovery::Replace(place, incarnation) => self.replace(place, &incarnation).await,
+            Recovery::Answers(place) => self.hosts[place].server.drop_responses(false),
+            Recovery::Fast(place) => self.hosts[place].server.set_service_time(SERVICE_TIME),
+            Recovery::Heal(place, link) => self.clear_link_fault(place, link),
+            Recovery::StoreHeals => self.store.set_faults(StoreFaults::default()),
+            Recovery::Return(zone) => self.store.write(&format!("evacuate/zone-{zone}"), ""),
         }
         None
     }
 
     /// Starts the process of a host again once the one that was told to leave has ended.
-    fn await_end(&mut self, place: usize, id: u32, since: Instant) -> Option<(Duration, Later)> {
+    fn restart_once_ended(
+        &mut self,
+        place: usize,
+        id: u32,
+        since: Instant,
+    ) -> Option<(Duration, Recovery)> {
         let process = self.hosts[place].process.as_mut();
         let process = process.filter(|process| process.id() == id)?;
         if process.has_ended() {
@@ -359,44 +371,44 @@
             return None;
         }
         let disturbed = *self.hosts[place].disturbed.lock().unwrap();
-        if since.elapsed() > ENDS && disturbed < since {
+        if since.elapsed() > EXIT_TIMEOUT && disturbed < since {
             let what = format!("the process of node-{place} has not ended");
-            self.truth.broken(what);
+            self.truth.record_violation(what);
             self.kill(place);
             self.start_node(place);
             return None;
         }
-        let look = Later::StartOnceEnded(place, id, since);
+        let look = Recovery::StartOnceEnded(place, id, since);
         Some((Duration::from_millis(50), look))
     }
 
     /// A server that has said that it leaves is gone, and the next one has its address.
-    async fn replace(&mut self, place: usize, life: &str) {
+    async fn replace(&mut self, place: usize, incarnation: &str) {
         let server = self.hosts[place].server.clone();
         let lost = self.hosts[place].lost.load(Ordering::Relaxed);
-        if server.life() != life || lost {
+        if server.incarnation() != incarnation || lost {
             return;
         }
-        if server.is_acknowledged() && server.ran_after_drain() > DRAIN {
+        if server.is_drain_acknowledged() && server.ran_after_drain() > DRAIN_TIME {
             let late = server.ran_after_drain();
-            self.truth.broken(format!(
-                "{life} got a request {late:?} after its leave was acknowledged"
+            self.truth.record_violation(format!(
+                "{incarnation} got a request {late:?} after its leave was acknowledged"
             ));
         }
-        server.say_gone().await;
-        self.lives += 1;
-        server.reborn(&format!("server-{place}-{}", self.lives));
+        server.deregister().await;
+        self.incarnations += 1;
+        server.restart_as(&format!("server-{place}-{}", self.incarnations));
     }
 
     /// Takes a host away for good, unless too few would be left that can serve everything.
-    fn lose(&mut self, place: usize) {
+    fn remove_host(&mut self, place: usize) {
         let here = |host: &&Host| !host.lost.load(Ordering::Relaxed);
         let left = self.hosts.iter().filter(here).count();
-        let service = &self.entrances[place].service;
-        let entrances = self.entrances.iter();
-        let same = entrances
-            .filter(|entrance| entrance.service == *service)
-            .filter(|entrance| !entrance.lost.load(Ordering::Relaxed));
+        let service = &self.endpoints[place].service;
+        let endpoints = self.endpoints.iter();
+        let same = endpoints
+            .filter(|endpoint| endpoint.service == *service)
+            .filter(|endpoint| !endpoint.lost.load(Ordering::Relaxed));
         if left <= self.hosts.len() * 2 / 3 || same.count() <= 1 {
             return;
         }
@@ -404,11 +416,11 @@
         self.kill(place);
         self.set_stream(place, Link::Server, refusing());
         self.stream(place, Link::Server).cut();
-        self.hosts[place].server.die();
+        self.hosts[place].server.crash();
     }
 
     fn kill(&mut self, place: usize) {
-        self.disturb(place);
+        self.record_disturbance(place);
         self.hosts[place].process = None;
     }
 
@@ -431,7 +443,7 @@
         }
     }
 
-    fn disturb(&self, place: usize) {
+    fn record_disturbance(&self, place: usize) {
         *self.hosts[place].disturbed.lock().unwrap() = Instant::now();
     }
 
@@ -444,9 +456,9 @@
         self.stream(place, link).set_faults(faults);
     }
 
-    fn harm(&self, place: usize, link: Link, fault: LinkFault) {
+    fn set_link_fault(&self, place: usize, link: Link, fault: LinkFault) {
         if link == Link::Clients {
-            self.disturb(place);
+            self.record_disturbance(place);
         }
         if link == Link::Datagrams {
             let (forward, back) = datagram_faults(fault);
@@ -459,9 +471,9 @@
         self.set_stream(place, link, stream_faults(fault));
     }
 
-    fn heal(&self, place: usize, link: Link) {
+    fn clear_link_fault(&self, place: usize, link: Link) {
         if link == Link::Clients {
-            self.disturb(place);
+            self.record_disturbance(place);
         }
         match link {
             Link::Datagrams => {
@@ -473,13 +485,13 @@
     }
 
     /// Waits until every host serves everything.
-    async fn settle(&self, clients: &Clients, when: &str) -> Duration {
+    async fn wait_until_served(&self, clients: &Clients, when: &str) -> Duration {
         let began = Instant::now();
-        while !clients.all_served(&SAMPLE).await {
-            if began.elapsed() > SETTLED {
+        while !clients.all_served(&SAMPLE_KEYS).await {
+            if began.elapsed() > SERVED_TIMEOUT {
                 let held = self.truth.held();
                 let what = format!("not everything is served {when}; {held} keys are held");
-                self.truth.broken(what);
+                self.truth.record_violation(what);
                 break;
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -549,19 +561,22 @@
     }
 }
 
-fn store_faults(trouble: StoreTrouble) -> StoreFaults {
+fn store_faults(fault: StoreFaultKind) -> StoreFaults {
     let none = StoreFaults::default();
-    match trouble {
-        StoreTrouble::Away => StoreFaults { away: true, ..none },
-        StoreTrouble::Slow => StoreFaults {
+    match fault {
+        StoreFaultKind::Away => StoreFaults {
+            unavailable: true,
+            ..none
+        },
+        StoreFaultKind::Slow => StoreFaults {
             slow: Duration::from_millis(300),
             ..none
         },
-        StoreTrouble::LosesAnswers => StoreFaults {
-            loses_answers: true,
+        StoreFaultKind::LosesAnswers => StoreFaults {
+            drops_replies: true,
             ..none
         },
-        StoreTrouble::Late => StoreFaults {
+        StoreFaultKind::Late => StoreFaults {
             late: Some(Duration::from_secs(3)),
             ..none
         },
--- a/crates/rack/tests/soak/lines.rs
+++ b/crates/rack/tests/soak/lines.rs
@@ -5,31 +5,31 @@
 
 use serde_json::Value;
 
-use crate::clients::Absence;
+use crate::clients::Downtime;
 use crate::fleet::Fleet;
 use crate::support::keep_logs;
 
 impl Fleet {
     /// Returns when nobody listened at a host after an orderly end, by the programs' own lines.
-    pub fn absences(&self, place: usize) -> Vec<Absence> {
+    pub fn downtimes(&self, place: usize) -> Vec<Downtime> {
         let lines = self.hosts[place].lines.lock().unwrap();
         let at = |line: &Value| {
             let seconds = line["at"].as_f64().unwrap();
             SystemTime::UNIX_EPOCH + Duration::from_secs_f64(seconds)
         };
-        let mut absences = Vec::new();
+        let mut downtimes = Vec::new();
         let mut ended = None;
         for line in lines.iter() {
             match line["event"].as_str() {
                 Some("traffic_ends") => ended = Some(at(line)),
                 Some("traffic_begins") => {
-                    absences.extend(ended.take().map(|ended| (ended, at(line))));
+                    downtimes.extend(ended.take().map(|ended| (ended, at(line))));
                 }
                 _ => {}
             }
         }
-        absences.extend(ended.map(|ended| (ended, SystemTime::now())));
-        absences
+        downtimes.extend(ended.map(|ended| (ended, SystemTime::now())));
+        downtimes
     }
 
     /// Writes what the programs have logged where a failed run can be looked at.
--- a/crates/rack/tests/soak/main.rs
+++ b/crates/rack/tests/soak/main.rs
@@ -23,12 +23,12 @@
 use fleet::Fleet;
 
 /// How many seeds a usual run plays, and the first of them.
-const USUAL_SEEDS: u64 = 2;
-const USUAL_FIRST: u64 = 1;
+const DEFAULT_SEEDS: u64 = 2;
+const DEFAULT_FIRST: u64 = 1;
 /// How many are played at a time.
-const USUAL_JOBS: u64 = 2;
+const DEFAULT_JOBS: u64 = 2;
 /// How many hosts there are.
-const USUAL_HOSTS: usize = 7;
+const DEFAULT_HOSTS: usize = 7;
 
 fn setting(name: &str, usual: u64) -> u64 {
     let value = std::env::var(format!("QUETZALRACK_SOAK_{name}")).ok();
@@ -36,28 +36,28 @@
 }
 
 /// Plays one seed; returns what was broken.
-fn play(seed: u64, hosts: usize) -> Vec<String> {
+fn run_seed(seed: u64, hosts: usize) -> Vec<String> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
         .unwrap();
     let broken = runtime.block_on(async {
         let mut fleet = Fleet::start(seed, hosts).await;
-        fleet.play().await
+        fleet.run().await
     });
     runtime.shutdown_timeout(Duration::from_secs(1));
     broken
 }
 
 /// Hosts and servers are killed, paused, told to leave and started again, connections are delayed,
-/// cut, reset and silenced, the store is away, slow or silent about what it did; series of these
+/// cut, reset and silenced, the store is unavailable, slow or silent about what it did; series of these
 /// overlap. No caller gets what is not its own, nothing runs twice that may not, "not run" is true, no
 /// key has two holders, and everything is served again soon after the last fault.
 #[test]
 fn random_faults() {
-    let first = setting("FIRST", USUAL_FIRST);
-    let hosts = usize::try_from(setting("HOSTS", USUAL_HOSTS as u64)).unwrap();
-    let end = first + setting("SEEDS", USUAL_SEEDS);
+    let first = setting("FIRST", DEFAULT_FIRST);
+    let hosts = usize::try_from(setting("HOSTS", DEFAULT_HOSTS as u64)).unwrap();
+    let end = first + setting("SEEDS", DEFAULT_SEEDS);
     let next = AtomicU64::new(first);
     let failed = Mutex::new(Vec::new());
     let work = || {
@@ -66,14 +66,14 @@
             if seed >= end {
                 return;
             }
-            let broken = play(seed, hosts);
+            let broken = run_seed(seed, hosts);
             println!("seed {seed}: {} promises broken", broken.len());
             let named = broken.iter().map(|what| format!("seed {seed}: {what}"));
             failed.lock().unwrap().extend(named);
         }
     };
     thread::scope(|scope| {
-        for _ in 0..setting("JOBS", USUAL_JOBS) {
+        for _ in 0..setting("JOBS", DEFAULT_JOBS) {
             scope.spawn(work);
         }
     });
@@ -86,7 +86,7 @@
 fn failed_before() {
     let seeds: [u64; 0] = [];
     for seed in seeds {
-        let broken = play(seed, USUAL_HOSTS);
+        let broken = run_seed(seed, DEFAULT_HOSTS);
         assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
     }
 }
--- a/crates/rack/tests/soak/script.rs
+++ b/crates/rack/tests/soak/script.rs
@@ -8,7 +8,7 @@
 
 /// Is one thing that happens, to the host at a place where it has one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     /// The process is killed and started again a while later.
     Kill(usize, Duration),
     /// The process stands still.
@@ -32,7 +32,7 @@
     /// A link of the host does something wrong.
     Link(usize, Link, LinkFault, Duration),
     /// The store does something wrong, for all.
-    Store(StoreTrouble, Duration),
+    Store(StoreFaultKind, Duration),
     /// An availability zone is emptied and taken back.
     Evacuate(usize, Duration),
     /// A new configuration is written.
@@ -63,7 +63,7 @@
 
 /// Says what the store does wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StoreTrouble {
+pub enum StoreFaultKind {
     Away,
     Slow,
     LosesAnswers,
@@ -86,21 +86,21 @@
     LinkFault::Silent,
     LinkFault::Refuse,
 ];
-const STORE_TROUBLES: [StoreTrouble; 4] = [
-    StoreTrouble::Away,
-    StoreTrouble::Slow,
-    StoreTrouble::LosesAnswers,
-    StoreTrouble::Late,
+const STORE_FAULTS: [StoreFaultKind; 4] = [
+    StoreFaultKind::Away,
+    StoreFaultKind::Slow,
+    StoreFaultKind::LosesAnswers,
+    StoreFaultKind::Late,
 ];
 /// How long troubles go on.
-const TROUBLED: Duration = Duration::from_secs(14);
+const FAULT_PERIOD: Duration = Duration::from_secs(14);
 
 /// Draws what happens to a fleet, in the order of time from the start of the clients.
-pub fn draw(seed: u64, hosts: usize) -> Vec<(Duration, Trouble)> {
+pub fn draw(seed: u64, hosts: usize) -> Vec<(Duration, Fault)> {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut script = Vec::new();
     let mut at = Duration::from_millis(random.random_range(200..1_500));
-    while at < TROUBLED {
+    while at < FAULT_PERIOD {
         // Now and then the same again and again, on one host after the other.
         let series = if random.random_bool(0.2) {
             random.random_range(2..5)
@@ -112,7 +112,7 @@
             let place = random.random_range(0..hosts);
             script.push((
                 at + Duration::from_millis(400) * number,
-                first.elsewhere(place),
+                first.at_host(place),
             ));
         }
         at += Duration::from_millis(random.random_range(100..1_800));
@@ -121,37 +121,37 @@
     script
 }
 
-fn draw_one(random: &mut SmallRng, hosts: usize) -> Trouble {
+fn draw_one(random: &mut SmallRng, hosts: usize) -> Fault {
     let place = random.random_range(0..hosts);
     let short = Duration::from_millis(random.random_range(100..1_500));
     let long = Duration::from_millis(random.random_range(300..5_000));
     match random.random_range(0..21) {
-        0..=2 => Trouble::Kill(place, short),
-        3..=4 => Trouble::Pause(place, long),
-        5..=6 => Trouble::Leave(place),
-        7 => Trouble::KillMost(short),
-        8 => Trouble::Hup(place),
-        9 => Trouble::Crash(place, short),
-        10 => Trouble::Drain(place),
-        11 => Trouble::LoseAnswers(place, short),
-        12 => Trouble::Slow(place, long),
+        0..=2 => Fault::Kill(place, short),
+        3..=4 => Fault::Pause(place, long),
+        5..=6 => Fault::Leave(place),
+        7 => Fault::KillMost(short),
+        8 => Fault::Hup(place),
+        9 => Fault::Crash(place, short),
+        10 => Fault::Drain(place),
+        11 => Fault::LoseAnswers(place, short),
+        12 => Fault::Slow(place, long),
         13..=15 => {
             let link = LINKS[random.random_range(0..LINKS.len())];
             let fault = LINK_FAULTS[random.random_range(0..LINK_FAULTS.len())];
-            Trouble::Link(place, link, fault, long)
+            Fault::Link(place, link, fault, long)
         }
         16..=17 => {
-            let trouble = STORE_TROUBLES[random.random_range(0..STORE_TROUBLES.len())];
-            Trouble::Store(trouble, long)
+            let fault = STORE_FAULTS[random.random_range(0..STORE_FAULTS.len())];
+            Fault::Store(fault, long)
         }
-        20 => Trouble::Lose(place),
-        18 => Trouble::Evacuate(random.random_range(0..3), long),
-        _ => Trouble::Config,
+        20 => Fault::Lose(place),
+        18 => Fault::Evacuate(random.random_range(0..3), long),
+        _ => Fault::Config,
     }
 }
 
-impl Trouble {
-    fn elsewhere(self, place: usize) -> Self {
+impl Fault {
+    fn at_host(self, place: usize) -> Self {
         match self {
             Self::Kill(_, time) => Self::Kill(place, time),
             Self::Pause(_, time) => Self::Pause(place, time),
--- a/crates/rack/tests/system/call_grants.rs
+++ b/crates/rack/tests/system/call_grants.rs
@@ -14,7 +14,7 @@
 
 async fn started() -> World {
     let world = World::start_by_call(&SERVICES).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     world
 }
 
@@ -23,7 +23,10 @@
     let requests = KEYS.iter().enumerate().map(|(place, key)| async move {
         let id = format!("{name}-{key}");
         let host = place % world.hosts.len();
-        world.ask(host, &id, "/keyed/1", Some(*key)).await.status
+        world
+            .request(host, &id, "/keyed/1", Some(*key))
+            .await
+            .status
     });
     let all = futures::future::join_all(requests).await;
     all.into_iter()
@@ -42,7 +45,7 @@
         );
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
-    assert_eq!(world.truth.all_broken(), Vec::<String>::new());
+    assert_eq!(world.truth.violations(), Vec::<String>::new());
 }
 
 /// Guards against failed requests while a busy server drains: its node releases the server's keys by
@@ -51,7 +54,7 @@
 async fn drained() {
     let world = started().await;
     for host in &world.hosts {
-        host.server.set_work(Duration::from_millis(50));
+        host.server.set_service_time(Duration::from_millis(50));
     }
     world.hosts[0].server.drain();
     for round in 0..10 {
@@ -63,7 +66,7 @@
     }
     assert_eq!(world.hosts[0].server.keys(), 0);
     assert!(world.hosts[0].server.released() > 0);
-    assert_eq!(world.truth.all_broken(), Vec::<String>::new());
+    assert_eq!(world.truth.violations(), Vec::<String>::new());
 }
 
 /// Guards against two holders of a key: a server carries out its calls without a response, so its node
@@ -74,9 +77,9 @@
     world.hosts[0].server.set_calls(CallFault::Unanswered);
     tokio::time::sleep(Duration::from_secs(4)).await;
     world.hosts[0].server.drain();
-    world.served_after(START).await;
+    world.time_until_served(START).await;
     assert_eq!(failures(&world, "later").await, Vec::new());
-    assert_eq!(world.truth.all_broken(), Vec::<String>::new());
+    assert_eq!(world.truth.violations(), Vec::<String>::new());
 }
 
 /// Guards against two holders of a key: calls are carried out three seconds late, when the server drains
@@ -90,9 +93,9 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     world.hosts[1].server.drain();
     tokio::time::sleep(Duration::from_secs(6)).await;
-    world.served_after(START).await;
+    world.time_until_served(START).await;
     assert_eq!(failures(&world, "later").await, Vec::new());
-    assert_eq!(world.truth.all_broken(), Vec::<String>::new());
+    assert_eq!(world.truth.violations(), Vec::<String>::new());
 }
 
 /// A new incarnation of a server starts under the same id. It holds no earlier grants and is granted keys
@@ -100,11 +103,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_server() {
     let world = started().await;
-    world.hosts[2].server.reborn("server-2");
+    world.hosts[2].server.restart_as("server-2");
     tokio::time::sleep(Duration::from_secs(1)).await;
-    world.served_after(START).await;
+    world.time_until_served(START).await;
     assert_eq!(failures(&world, "later").await, Vec::new());
-    assert_eq!(world.truth.all_broken(), Vec::<String>::new());
+    assert_eq!(world.truth.violations(), Vec::<String>::new());
 }
 
 /// The node beside a server is killed and restarted: the server keeps its keys or soon regains them, and
@@ -116,11 +119,11 @@
         world.kill_node(place);
         tokio::time::sleep(Duration::from_millis(200)).await;
         world.start_node(place);
-        world.settled(START).await;
+        world.wait_until_served(START).await;
         assert_eq!(
             failures(&world, &format!("killed-{place}")).await,
             Vec::new()
         );
     }
-    assert_eq!(world.truth.all_broken(), Vec::<String>::new());
+    assert_eq!(world.truth.violations(), Vec::<String>::new());
 }
--- a/crates/rack/tests/system/cold_servers.rs
+++ b/crates/rack/tests/system/cold_servers.rs
@@ -20,7 +20,7 @@
         let mut round = 0;
         while Instant::now() < deadline {
             let id = format!("{name}-{sender}-{round}");
-            world.ask(sender % PLAIN, &id, "/plain/1", None).await;
+            world.request(sender % PLAIN, &id, "/plain/1", None).await;
             round += 1;
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -33,12 +33,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn without_document() {
     let mut world = World::start(&SERVICES).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     flood(&world, "before", Duration::from_millis(300)).await;
-    world.store.set_away(true);
+    world.store.set_unavailable(true);
     world.kill_node(PLAIN);
     let server = &world.hosts[PLAIN].server;
-    server.reborn("server-3-again");
+    server.restart_as("server-3-again");
     server.set_cold(Duration::from_secs(20));
     world.start_node(PLAIN);
     flood(&world, "after", Duration::from_secs(4)).await;
@@ -55,14 +55,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn next_incarnation() {
     let world = World::start(&SERVICES).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     let server = &world.hosts[PLAIN].server;
     let (_, ()) = tokio::join!(flood(&world, "on", Duration::from_secs(5)), async {
         tokio::time::sleep(Duration::from_millis(500)).await;
-        server.die();
+        server.crash();
         // Too short for its node to consider it unreachable.
         tokio::time::sleep(Duration::from_millis(250)).await;
-        server.reborn("server-3");
+        server.restart_as("server-3");
         server.set_cold(Duration::from_secs(20));
     });
     let busiest = server.busiest_second();
--- a/crates/rack/tests/system/explained.rs
+++ b/crates/rack/tests/system/explained.rs
@@ -38,11 +38,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn refused() {
     let world = World::start(&["plain", "keyed"]).await;
-    world.settled(START).await;
-    world.hosts[0].server.set_work(Duration::from_millis(900));
+    world.wait_until_served(START).await;
+    world.hosts[0]
+        .server
+        .set_service_time(Duration::from_millis(900));
     let requests = (0..60).map(|number| {
         let (world, id) = (&world, format!("explain-refused-{number}"));
-        async move { (world.ask(0, &id, "/plain/1", None).await, id) }
+        async move { (world.request(0, &id, "/plain/1", None).await, id) }
     });
     let responses = futures::future::join_all(requests).await;
     let (refused, id) = responses
@@ -76,9 +78,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn lost() {
     let world = World::start(&["plain", "keyed"]).await;
-    world.settled(START).await;
-    world.hosts[0].server.lose_answers(true);
-    let response = world.ask(0, "explain-lost", "/once/1", None).await;
+    world.wait_until_served(START).await;
+    world.hosts[0].server.drop_responses(true);
+    let response = world.request(0, "explain-lost", "/once/1", None).await;
     assert_eq!(response.status, Some(StatusCode::BAD_GATEWAY));
     let line = wait_for_line(&world, "explain-lost", "not_served").await;
     assert_eq!((&line["why"], &line["sent"]), (&"broken".into(), &1.into()));
@@ -91,11 +93,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn moved_owner() {
     let world = World::start(&["plain", "keyed"]).await;
-    world.settled(START).await;
-    world.hosts[1].server.die();
+    world.wait_until_served(START).await;
+    world.hosts[1].server.crash();
     tokio::time::sleep(Duration::from_secs(6)).await;
     let response = world
-        .ask(0, "explain-moved", "/keyed/1", Some(40_000))
+        .request(0, "explain-moved", "/keyed/1", Some(40_000))
         .await;
     assert_eq!(response.status, Some(StatusCode::SERVICE_UNAVAILABLE));
     let line = wait_for_line(&world, "explain-moved", "not_served").await;
--- a/crates/rack/tests/system/faults.rs
+++ b/crates/rack/tests/system/faults.rs
@@ -17,11 +17,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn without_faults() {
     let world = World::start(&SERVICES).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     for place in 0..SERVICES.len() {
         assert!(world.is_ready(place).await);
         let id = format!("calm-{place}");
-        let got = world.ask(place, &id, "/keyed/1", Some(40_000)).await;
+        let got = world.request(place, &id, "/keyed/1", Some(40_000)).await;
         assert_eq!(got.status, Some(StatusCode::OK));
         let runs: u32 = world.hosts.iter().map(|host| host.server.runs(&id)).sum();
         assert_eq!(runs, 1);
@@ -30,7 +30,7 @@
     assert_eq!(held, 65_536);
     let callers = world.hosts[0].server.callers();
     assert!(!callers.contains(&"a-lie".to_owned()), "{callers:?}");
-    let missing = world.ask(0, "calm-missing", "/missing/1", None).await;
+    let missing = world.request(0, "calm-missing", "/missing/1", None).await;
     assert_eq!(missing.status, Some(StatusCode::NOT_FOUND));
 }
 
@@ -39,12 +39,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_nodes() {
     let mut world = World::start(&SERVICES).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     for place in 0..SERVICES.len() {
         world.kill_node(place);
         tokio::time::sleep(Duration::from_millis(200)).await;
         world.start_node(place);
-        let took = world.settled(Duration::from_secs(10)).await;
+        let took = world.wait_until_served(Duration::from_secs(10)).await;
         assert!(
             took < Duration::from_secs(5),
             "{took:?} after the loss of node-{place}"
@@ -57,17 +57,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn leader_shutdown_without_store() {
     let mut world = World::start(&SERVICES).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     let leads = |place: &usize| !world.lines(*place, "event", "takeover_complete").is_empty();
     let leader = (0..SERVICES.len()).find(leads).unwrap();
-    world.store.set_away(true);
+    world.store.set_unavailable(true);
     tokio::time::sleep(Duration::from_secs(1)).await;
     world.terminate_node(leader);
-    assert!(world.ended(leader, Duration::from_secs(6)).await);
+    assert!(world.wait_for_exit(leader, Duration::from_secs(6)).await);
     world.start_node(leader);
-    let took = world.settled(Duration::from_secs(20)).await;
+    let took = world.wait_until_served(Duration::from_secs(20)).await;
     assert!(took < Duration::from_secs(5), "{took:?} without an owner");
-    world.store.set_away(false);
+    world.store.set_unavailable(false);
 }
 
 /// A node receives SIGTERM while it serves slow requests: it reports that it is not ready, finishes the
@@ -75,14 +75,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn graceful_shutdown() {
     let mut world = World::start(&["plain", "plain", "keyed"]).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     for host in &world.hosts {
-        host.server.set_work(Duration::from_millis(700));
+        host.server.set_service_time(Duration::from_millis(700));
     }
     let requests = async {
         let asks = (0..8).map(|number| {
             let (world, id) = (&world, format!("slow-{number}"));
-            async move { world.ask(0, &id, "/once/1", None).await.status }
+            async move { world.request(0, &id, "/once/1", None).await.status }
         });
         futures::future::join_all(asks).await
     };
@@ -95,7 +95,7 @@
     let (answers, ready) = tokio::join!(requests, shutdown);
     assert!(!ready);
     assert_eq!(answers, vec![Some(StatusCode::OK); 8]);
-    assert!(world.ended(0, Duration::from_secs(6)).await);
+    assert!(world.wait_for_exit(0, Duration::from_secs(6)).await);
 }
 
 /// A new configuration is in force on every host within two seconds, and an unreadable one changes
@@ -103,7 +103,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn new_config() {
     let world = World::start(&["plain", "keyed"]).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     world
         .store
         .write("config", "{\"version\": \"r9\", \"resources\": 7}");
@@ -112,7 +112,7 @@
     let written = Instant::now();
     for place in 0..2 {
         loop {
-            let got = world.ask(place, "config", "/new/1", None).await;
+            let got = world.request(place, "config", "/new/1", None).await;
             if got.status == Some(StatusCode::OK) {
                 break;
             }
@@ -132,25 +132,25 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_server() {
     let world = World::start(&SERVICES).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     world.hosts[1].server.drain();
     let until = Instant::now() + Duration::from_secs(5);
     let mut number = 0_u16;
     while Instant::now() < until {
         number = number.wrapping_add(977);
         world
-            .ask(0, &format!("drain-{number}"), "/keyed/1", Some(number))
+            .request(0, &format!("drain-{number}"), "/keyed/1", Some(number))
             .await;
     }
     let server = &world.hosts[1].server;
-    assert!(server.is_acknowledged());
+    assert!(server.is_drain_acknowledged());
     assert!(
         server.ran_after_drain() < Duration::from_secs(2),
         "{:?}",
         server.ran_after_drain()
     );
     assert_eq!(server.keys(), 0);
-    world.settled(Duration::from_secs(5)).await;
+    world.wait_until_served(Duration::from_secs(5)).await;
 }
 
 /// Servers run requests and their responses are lost. A request that may run only once is neither sent
@@ -158,15 +158,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answers() {
     let world = World::start(&["plain", "plain", "keyed"]).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     for host in &world.hosts {
-        host.server.lose_answers(true);
+        host.server.drop_responses(true);
     }
     let runs = |id: &str| -> u32 { world.hosts.iter().map(|host| host.server.runs(id)).sum() };
-    let got = world.ask(0, "lost-once", "/once/1", None).await;
+    let got = world.request(0, "lost-once", "/once/1", None).await;
     assert_eq!(got.status, Some(StatusCode::BAD_GATEWAY));
     assert_eq!(runs("lost-once"), 1);
-    let got = world.ask(0, "lost-plain", "/plain/1", None).await;
+    let got = world.request(0, "lost-plain", "/plain/1", None).await;
     assert_eq!(got.status, Some(StatusCode::BAD_GATEWAY));
     assert_eq!(runs("lost-plain"), 2);
 }
@@ -178,15 +178,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn client_disconnects() {
     let world = World::start(&["plain", "keyed"]).await;
-    world.settled(START).await;
-    world.hosts[0].server.set_work(Duration::from_millis(400));
+    world.wait_until_served(START).await;
+    world.hosts[0]
+        .server
+        .set_service_time(Duration::from_millis(400));
     let sent = [
         ("/plain/1", "leaves-first"),
         ("/once/1", "leaves-second"),
         ("/plain/1", "leaves-third"),
     ];
     world
-        .send_and_leave(0, &sent, Duration::from_millis(150))
+        .send_and_close(0, &sent, Duration::from_millis(150))
         .await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     let server = &world.hosts[0].server;
@@ -202,16 +204,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn shutdown_with_long_queue() {
     let mut world = World::start(&["plain", "plain", "keyed"]).await;
-    world.settled(START).await;
-    world.write_patient_config(3);
+    world.wait_until_served(START).await;
+    world.write_long_timeout_config(3);
     tokio::time::sleep(Duration::from_secs(1)).await;
     for host in &world.hosts {
-        host.server.set_work(Duration::from_secs(9));
+        host.server.set_service_time(Duration::from_secs(9));
     }
     let requests = async {
         let asks = (0..30).map(|number| {
             let (world, id) = (&world, format!("queued-{number}"));
-            async move { world.ask_patiently(0, &id, "/plain/1").await }
+            async move { world.request_with_long_timeout(0, &id, "/plain/1").await }
         });
         futures::future::join_all(asks).await
     };
@@ -221,7 +223,7 @@
     };
     let (answers, ()) = tokio::join!(requests, shutdown);
     assert!(answers.iter().all(Option::is_some), "{answers:?}");
-    assert!(world.ended(0, Duration::from_secs(2)).await);
+    assert!(world.wait_for_exit(0, Duration::from_secs(2)).await);
 }
 
 /// Guards against truncated responses: a node receives SIGTERM while large responses of its server wait for
@@ -231,13 +233,13 @@
 async fn shutdown_with_narrow_link() {
     const RESPONSE_BYTES: usize = 100_000;
     let mut world = World::start_with_link(&["keyed", "plain"], 1.0).await;
-    world.write_patient_config(3);
+    world.write_long_timeout_config(3);
     tokio::time::sleep(Duration::from_secs(3)).await;
-    world.hosts[1].server.set_answer(RESPONSE_BYTES);
+    world.hosts[1].server.set_response_bytes(RESPONSE_BYTES);
     let requests = async {
         let asks = (0..5).map(|number| {
             let (world, id) = (&world, format!("long-{number}"));
-            async move { world.fetch_patiently(0, &id, "/plain/1").await }
+            async move { world.fetch_with_long_timeout(0, &id, "/plain/1").await }
         });
         futures::future::join_all(asks).await
     };
@@ -247,7 +249,7 @@
     };
     let (answers, ()) = tokio::join!(requests, shutdown);
     assert_eq!(answers, vec![Some(RESPONSE_BYTES); 5]);
-    assert!(world.ended(1, Duration::from_secs(6)).await);
+    assert!(world.wait_for_exit(1, Duration::from_secs(6)).await);
 }
 
 /// Guards against a connection that is held open for an incomplete request head. The HTTP library has a
@@ -258,7 +260,7 @@
 async fn slow_head() {
     const REQUEST: &str = "GET /plain/1 HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: rests\r\nX-Deadline-Ms: 1500\r\n\r\n";
     let world = World::start(&["plain", "keyed"]).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     let idle = world.send_apart(0, REQUEST, Duration::from_millis(4_500), REQUEST);
     let slow = async {
         let began = Instant::now();
@@ -279,21 +281,21 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_requests_add_no_budget() {
     let world = World::start(&["plain", "plain", "keyed"]).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     let asks = (0..600).map(|number| {
         let (world, id) = (&world, format!("hasty-{number}"));
-        async move { world.ask_hastily(0, &id, "/plain/1").await }
+        async move { world.request_with_short_timeout(0, &id, "/plain/1").await }
     });
     for status in futures::future::join_all(asks).await {
         assert_eq!(status, Some(StatusCode::SERVICE_UNAVAILABLE));
     }
     for host in &world.hosts {
-        host.server.lose_answers(true);
+        host.server.drop_responses(true);
     }
     let (ran_before, repeats_before) = world.truth.repeats();
     for number in 0..100 {
         world
-            .ask(0, &format!("lost-{number}"), "/plain/1", None)
+            .request(0, &format!("lost-{number}"), "/plain/1", None)
             .await;
     }
     let (ran, repeats) = world.truth.repeats();
--- a/crates/rack/tests/system/full_queue.rs
+++ b/crates/rack/tests/system/full_queue.rs
@@ -31,15 +31,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn request_completes() {
     let world = World::start(&["keyed", "plain", "plain"]).await;
-    world.settled(START).await;
-    world.write_patient_config(2);
+    world.wait_until_served(START).await;
+    world.write_long_timeout_config(2);
     tokio::time::sleep(Duration::from_secs(2)).await;
     let leader = world.leader();
     let (busy, other) = if leader == 1 { (2, 1) } else { (1, 2) };
     world.hosts[other].server.drain();
-    world.hosts[busy].server.set_work(Duration::from_secs(4));
+    world.hosts[busy]
+        .server
+        .set_service_time(Duration::from_secs(4));
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let request = world.ask_patiently(0, "long", "/plain/1");
+    let request = world.request_with_long_timeout(0, "long", "/plain/1");
     let pause = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         world.hosts[busy].process().signal(Signal::STOP);
--- a/crates/rack/tests/system/ground_truth.rs
+++ b/crates/rack/tests/system/ground_truth.rs
@@ -15,11 +15,11 @@
     truth.hold("one", &[((100, 300, 5), expired)]);
     truth.hold("two", &[((301, 400, 5), expired), ((0, 99, 5), expired)]);
     truth.hold("one", &[((100, 300, 5), until)]);
-    assert_eq!(truth.all_broken(), Vec::<String>::new());
+    assert_eq!(truth.violations(), Vec::<String>::new());
     truth.drop_all("one");
     truth.hold("two", &[((200, 310, 5), until)]);
     let violation = "two gets 200 with 5, and one had it with 5".to_owned();
-    assert_eq!(truth.all_broken(), vec![violation]);
+    assert_eq!(truth.violations(), vec![violation]);
     truth.hold("two", &[((150, 160, 6), until)]);
-    assert_eq!(truth.all_broken().len(), 1);
+    assert_eq!(truth.violations().len(), 1);
 }
--- a/crates/rack/tests/system/growth.rs
+++ b/crates/rack/tests/system/growth.rs
@@ -28,7 +28,11 @@
             let key = first + (client.wrapping_mul(7_919) ^ number.wrapping_mul(613)) % count;
             let place = usize::from(client) % world.hosts.len();
             let id = format!("{name}-{client}-{number}");
-            match world.ask(place, &id, "/keyed/1", Some(key)).await.status {
+            match world
+                .request(place, &id, "/keyed/1", Some(key))
+                .await
+                .status
+            {
                 Some(StatusCode::OK) => good += 1,
                 status => other.push(status),
             }
@@ -45,14 +49,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn new_host() {
     let mut world = World::start(&["keyed", "keyed", "plain"]).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     for host in &world.hosts {
-        host.server.set_work(Duration::from_millis(30));
+        host.server.set_service_time(Duration::from_millis(30));
     }
     let place = world.add_host("keyed").await;
     world.hosts[place]
         .server
-        .set_work(Duration::from_millis(30));
+        .set_service_time(Duration::from_millis(30));
     // Clients send their requests to the earlier hosts only.
     let newcomer = world.hosts.pop().unwrap();
     let until = Instant::now() + Duration::from_secs(9);
@@ -67,7 +71,7 @@
     assert!(other.len() * 50 < good, "{} of {good}", other.len());
     assert!(newcomer.server.keys() > 0);
     assert!(!newcomer.server.callers().is_empty());
-    assert_eq!(world.truth.all_broken(), Vec::<String>::new());
+    assert_eq!(world.truth.violations(), Vec::<String>::new());
     drop(process);
 }
 
@@ -76,10 +80,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn hot_range_spreads() {
     let world = World::start(&["keyed", "keyed", "keyed", "plain"]).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     for host in &world.hosts {
         // Ten slots serve 50 requests a second; the clients send up to 200.
-        host.server.set_work(Duration::from_millis(200));
+        host.server.set_service_time(Duration::from_millis(200));
     }
     let until = Instant::now() + Duration::from_secs(8);
     request_until(&world, "hot", 40_000, 200, until).await;
@@ -101,5 +105,5 @@
         .map(|place| world.lines(place, "event", "keys_moved").len())
         .sum();
     assert!(moved > 0);
-    assert_eq!(world.truth.all_broken(), Vec::<String>::new());
+    assert_eq!(world.truth.violations(), Vec::<String>::new());
 }
--- a/crates/rack/tests/system/losses.rs
+++ b/crates/rack/tests/system/losses.rs
@@ -46,7 +46,7 @@
 
 async fn lose(world: &mut World, loss: Loss, place: usize) -> Duration {
     match loss {
-        Loss::Server => world.hosts[place].server.die(),
+        Loss::Server => world.hosts[place].server.crash(),
         Loss::Node => {
             world.kill_node(place);
             tokio::time::sleep(Duration::from_millis(200)).await;
@@ -54,15 +54,17 @@
         }
         Loss::Host => {
             let host = world.hosts.remove(place);
-            host.server.die();
+            host.server.crash();
         }
     }
-    world.served_after(Duration::from_secs(30)).await
+    world.time_until_served(Duration::from_secs(30)).await
 }
 
 async fn replace(world: &mut World, loss: Loss, place: usize, number: usize) {
     match loss {
-        Loss::Server => world.hosts[place].server.reborn(&format!("next-{number}")),
+        Loss::Server => world.hosts[place]
+            .server
+            .restart_as(&format!("next-{number}")),
         Loss::Node => {}
         Loss::Host => {
             let newcomer = world.add_host("keyed").await;
@@ -73,7 +75,7 @@
         }
     }
     tokio::time::sleep(RECOVERY_PAUSE).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
 }
 
 async fn measure(loss: Loss, store_away: bool) {
@@ -87,15 +89,15 @@
 }
 
 async fn measure_in(mut world: World, loss: Loss, store_away: bool) {
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     tokio::time::sleep(RECOVERY_PAUSE).await;
     let mut times = Vec::new();
     for number in 0..losses() {
         let place = select_host(&world, number, store_away);
-        world.store.set_away(store_away);
+        world.store.set_unavailable(store_away);
         tokio::time::sleep(Duration::from_millis(500)).await;
         times.push(lose(&mut world, loss, place).await);
-        world.store.set_away(false);
+        world.store.set_unavailable(false);
         replace(&mut world, loss, place, number).await;
     }
     times.sort();
@@ -103,7 +105,7 @@
     println!("{times:?}");
     println!("{loss:?}, store away {store_away}: median {median:?}, worst {worst:?}");
     assert!(worst < MAX_RECOVERY, "{times:?}");
-    assert_eq!(world.truth.all_broken(), Vec::<String>::new());
+    assert_eq!(world.truth.violations(), Vec::<String>::new());
 }
 
 /// A server stops responding: its keys are granted to others when its hold has expired.
@@ -133,19 +135,19 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn leader_without_store() {
     let mut world = World::start(&SERVICES).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     tokio::time::sleep(RECOVERY_PAUSE).await;
-    world.store.set_away(true);
+    world.store.set_unavailable(true);
     tokio::time::sleep(Duration::from_millis(500)).await;
     let host = world.hosts.remove(world.leader());
-    host.server.die();
+    host.server.crash();
     drop(host);
     tokio::time::sleep(Duration::from_secs(6)).await;
-    world.store.set_away(false);
-    let recovery = world.settled(START).await;
-    println!("the leader, store away: {recovery:?} after the store was back");
+    world.store.set_unavailable(false);
+    let recovery = world.wait_until_served(START).await;
+    println!("the leader, store unavailable: {recovery:?} after the store was back");
     assert!(recovery < MAX_RECOVERY, "{recovery:?}");
-    assert_eq!(world.truth.all_broken(), Vec::<String>::new());
+    assert_eq!(world.truth.violations(), Vec::<String>::new());
 }
 
 /// A server that is granted keys by call stops responding: its keys are granted to others when its hold
--- a/crates/rack/tests/system/pipelines.rs
+++ b/crates/rack/tests/system/pipelines.rs
@@ -11,8 +11,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn concurrent_requests() {
     let world = World::start(&["plain", "keyed"]).await;
-    world.settled(Duration::from_secs(30)).await;
-    world.hosts[0].server.set_work(Duration::from_millis(500));
+    world.wait_until_served(Duration::from_secs(30)).await;
+    world.hosts[0]
+        .server
+        .set_service_time(Duration::from_millis(500));
     let started = Instant::now();
     let ids = ["one", "two", "three", "four"];
     assert_eq!(world.send_all(0, &ids).await, ids);
@@ -37,8 +39,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn request_in_body() {
     let world = World::start(&["plain", "keyed"]).await;
-    world.settled(Duration::from_secs(30)).await;
-    world.hosts[0].server.set_work(Duration::from_millis(200));
+    world.wait_until_served(Duration::from_secs(30)).await;
+    world.hosts[0]
+        .server
+        .set_service_time(Duration::from_millis(200));
     let server = &world.hosts[0].server;
     let length = HIDDEN.len();
     let counted = with_body("counted", &format!("Content-Length: {length}"), HIDDEN);
--- a/crates/rack/tests/system/reload.rs
+++ b/crates/rack/tests/system/reload.rs
@@ -24,17 +24,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn changed_file() {
     let world = World::start(&["plain", "keyed"]).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     world.change_settings(0, "drain = \"2000ms\"", "drain = \"2500ms\"");
     let line = wait_for(&world, "reload", 1).await;
     assert_eq!(
         (&line["changed"], &line["fields"]),
         (&true.into(), &"bounds".into())
     );
-    world.hang_up(0);
+    world.send_sighup(0);
     wait_for(&world, "reload", 2).await;
     world.change_settings(0, "[self]", "[self");
     wait_for(&world, "reload_failed", 1).await;
     assert!(world.is_ready(0).await);
-    world.settled(Duration::from_secs(5)).await;
+    world.wait_until_served(Duration::from_secs(5)).await;
 }
--- a/crates/rack/tests/system/shutdown.rs
+++ b/crates/rack/tests/system/shutdown.rs
@@ -4,7 +4,7 @@
 
 use reqwest::StatusCode;
 
-use super::support::Anew;
+use super::support::ConnectionOutcome;
 use super::support::World;
 
 const START: Duration = Duration::from_secs(30);
@@ -14,11 +14,11 @@
 /// Starts hosts whose servers take `work` for a request, with routes whose timeouts allow it.
 async fn started(work: Duration) -> World {
     let world = World::start(&["plain", "plain", "keyed"]).await;
-    world.settled(START).await;
-    world.write_patient_config(2);
+    world.wait_until_served(START).await;
+    world.write_long_timeout_config(2);
     tokio::time::sleep(Duration::from_secs(2)).await;
     for host in &world.hosts {
-        host.server.set_work(work);
+        host.server.set_service_time(work);
     }
     world
 }
@@ -28,12 +28,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn late_connection() {
     let world = started(Duration::from_millis(3_400)).await;
-    let long_request = world.ask_patiently(0, "long", "/plain/1");
+    let long_request = world.request_with_long_timeout(0, "long", "/plain/1");
     let late = async {
         tokio::time::sleep(Duration::from_millis(200)).await;
         world.terminate_node(0);
         for host in &world.hosts {
-            host.server.set_work(Duration::from_millis(10));
+            host.server.set_service_time(Duration::from_millis(10));
         }
         tokio::time::sleep(IDLE_CLOSED).await;
         let request = "GET /plain/1 HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: late\r\nX-Deadline-Ms: 1500\r\n\r\n";
@@ -69,7 +69,7 @@
 /// that takes its server 9 s; returns the first line of what the process sends within a second.
 async fn late_response(second_after: Option<Duration>, deadline_ms: u32) -> String {
     let world = started(Duration::from_secs(9)).await;
-    let long_request = world.ask_patiently(0, "long", "/plain/1");
+    let long_request = world.request_with_long_timeout(0, "long", "/plain/1");
     let late = async {
         tokio::time::sleep(Duration::from_millis(200)).await;
         world.terminate_node(0);
@@ -95,16 +95,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn connections_until_exit() {
     let mut world = World::start(&["plain", "plain", "keyed"]).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     for host in &world.hosts {
-        host.server.set_work(Duration::from_millis(30));
+        host.server.set_service_time(Duration::from_millis(30));
     }
     world.terminate_node(0);
     let mut cut_connections = Vec::new();
     while !world.hosts[0].has_ended() {
-        let requests = (0..12).map(|_| world.ask_anew(0, "/plain/1"));
+        let requests = (0..12).map(|_| world.request_on_new_connection(0, "/plain/1"));
         let answers = futures::future::join_all(requests).await;
-        cut_connections.extend(answers.into_iter().filter(|answer| *answer == Anew::Cut));
+        cut_connections.extend(
+            answers
+                .into_iter()
+                .filter(|answer| *answer == ConnectionOutcome::Cut),
+        );
     }
     assert_eq!(cut_connections, Vec::new());
 }
--- a/crates/rack/tests/system/store_faults.rs
+++ b/crates/rack/tests/system/store_faults.rs
@@ -5,8 +5,8 @@
 
 use reqwest::StatusCode;
 
+use super::support::EndpointFault;
 use super::support::StoreFaults;
-use super::support::TurnedAway;
 use super::support::World;
 
 const START: Duration = Duration::from_secs(30);
@@ -28,7 +28,7 @@
     let written = Instant::now();
     for place in 0..world.hosts.len() {
         loop {
-            let got = world.ask(place, "config", "/new/1", None).await;
+            let got = world.request(place, "config", "/new/1", None).await;
             if got.status == Some(StatusCode::OK) {
                 break;
             }
@@ -44,25 +44,29 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn refuses_some_hosts() {
     let mut world = World::start(&SERVICES).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     let leader = world.leader();
     let other = (leader + 1) % SERVICES.len();
     world.hosts[leader]
         .store
-        .turn_away(Some(TurnedAway::TooMany));
-    world.hosts[other].store.turn_away(Some(TurnedAway::Silent));
+        .set_fault(Some(EndpointFault::TooMany));
+    world.hosts[other]
+        .store
+        .set_fault(Some(EndpointFault::Silent));
     tokio::time::sleep(Duration::from_secs(1)).await;
     world.write_config(2);
     wait_for_config(&world).await;
-    let took = world.settled(Duration::from_secs(10)).await;
+    let took = world.wait_until_served(Duration::from_secs(10)).await;
     assert!(took < Duration::from_secs(1), "{took:?} without an owner");
     world.kill_node(leader);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    world.hosts[leader].store.turn_away(Some(TurnedAway::Busy));
+    world.hosts[leader]
+        .store
+        .set_fault(Some(EndpointFault::Busy));
     world.start_node(leader);
-    let took = world.settled(Duration::from_secs(20)).await;
+    let took = world.wait_until_served(Duration::from_secs(20)).await;
     assert!(took < MAX_RECOVERY, "{took:?} after the leader's loss");
-    assert_eq!(world.truth.all_broken(), Vec::<String>::new());
+    assert_eq!(world.truth.violations(), Vec::<String>::new());
 }
 
 /// The store responds slowly, then applies appends without a response, then applies them three seconds
@@ -71,7 +75,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_lost_and_late() {
     let mut world = World::start(&SERVICES).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     let none = StoreFaults::default();
     let fault_cases = [
         StoreFaults {
@@ -79,7 +83,7 @@
             ..none
         },
         StoreFaults {
-            loses_answers: true,
+            drops_replies: true,
             ..none
         },
         StoreFaults {
@@ -93,15 +97,15 @@
         world.kill_node(leader);
         tokio::time::sleep(Duration::from_millis(300)).await;
         world.start_node(leader);
-        let took = world.settled(Duration::from_secs(30)).await;
+        let took = world.wait_until_served(Duration::from_secs(30)).await;
         assert!(took < Duration::from_secs(12), "{took:?} with {faults:?}");
         world.store.set_faults(none);
         // Late appends are applied in this time.
         tokio::time::sleep(Duration::from_secs(4)).await;
-        let took = world.settled(Duration::from_secs(10)).await;
+        let took = world.wait_until_served(Duration::from_secs(10)).await;
         assert!(took < Duration::from_secs(1), "{took:?} after {faults:?}");
     }
-    assert_eq!(world.truth.all_broken(), Vec::<String>::new());
+    assert_eq!(world.truth.violations(), Vec::<String>::new());
 }
 
 /// The store drops its history while the nodes can't read, after operators have written: the offset that the
@@ -109,27 +113,27 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn dropped_history() {
     let world = World::start(&["keyed", "plain"]).await;
-    world.settled(START).await;
-    world.store.set_away(true);
+    world.wait_until_served(START).await;
+    world.store.set_unavailable(true);
     tokio::time::sleep(Duration::from_millis(500)).await;
     for zone in ["zone-7", "zone-8", "zone-9"] {
         world.store.write(&format!("evacuate/{zone}"), "{}");
     }
     world.write_config(2);
     world.store.expire();
-    world.store.set_away(false);
+    world.store.set_unavailable(false);
     wait_for_config(&world).await;
     world.store.write("evacuate/zone-1", "{}");
     let written = Instant::now();
     loop {
-        let got = world.ask(0, "evacuated", "/plain/1", None).await;
+        let got = world.request(0, "evacuated", "/plain/1", None).await;
         if got.status == Some(StatusCode::SERVICE_UNAVAILABLE) {
             break;
         }
         assert!(written.elapsed() < Duration::from_secs(5), "{got:?}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!(world.truth.all_broken(), Vec::<String>::new());
+    assert_eq!(world.truth.violations(), Vec::<String>::new());
 }
 
 /// Makes the store unresponsive for `length`, starting just after every node has sent a read, and writes a
@@ -138,11 +142,11 @@
     world.store.write("evacuate/zone-9", "{}");
     tokio::time::sleep(Duration::from_millis(600)).await;
     for host in &world.hosts {
-        host.store.turn_away(Some(TurnedAway::Silent));
+        host.store.set_fault(Some(EndpointFault::Silent));
     }
     tokio::time::sleep(length).await;
     for host in &world.hosts {
-        host.store.turn_away(None);
+        host.store.set_fault(None);
     }
     world.write_config(2);
     wait_for_config_within(world, MAX_DELAY_AFTER_OUTAGE).await;
@@ -153,7 +157,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn short_outage() {
     let world = World::start(&SERVICES).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     unresponsive_store(&world, Duration::from_millis(1_500)).await;
 }
 
@@ -162,7 +166,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn long_outage() {
     let world = World::start(&SERVICES).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     unresponsive_store(&world, Duration::from_millis(8_500)).await;
 }
 
@@ -171,7 +175,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn written_between_pages() {
     let mut world = World::start(&["plain", "keyed"]).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     for zone in ["zone-7", "zone-8", "zone-9"] {
         world.store.write(&format!("evacuate/{zone}"), "{}");
     }
@@ -181,6 +185,6 @@
     world.start_node(0);
     world.start_node(1);
     tokio::time::sleep(Duration::from_secs(2)).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     wait_for_config(&world).await;
 }
--- a/crates/rack/tests/system/support/called_keys.rs
+++ b/crates/rack/tests/system/support/call_grants.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 
 use super::stand_in_server::StandInServer;
-use super::truth::Row;
+use super::truth::HeldRange;
 
 /// Says what becomes of calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -24,23 +24,23 @@
 
 /// Is a range with its end.
 #[derive(Clone, Copy, Debug)]
-pub struct Called {
-    pub row: Row,
+pub struct GrantedRange {
+    pub row: HeldRange,
     pub until: Instant,
 }
 
 /// Is what a life of a server holds by calls.
 #[derive(Default)]
-pub struct CalledKeys {
-    held: Vec<Called>,
-    seen: Vec<Row>,
+pub struct CallGrants {
+    held: Vec<GrantedRange>,
+    seen: Vec<HeldRange>,
     pub fault: CallFault,
     pub released: u32,
 }
 
 /// Is a call as it came.
 pub struct Call {
-    pub row: Row,
+    pub row: HeldRange,
     /// The end of the hold; none for a release.
     pub until: Option<Instant>,
 }
@@ -66,23 +66,23 @@
     }
 }
 
-impl CalledKeys {
+impl CallGrants {
     /// Returns what is held now.
-    pub fn held(&self) -> Vec<Called> {
+    pub fn held(&self) -> Vec<GrantedRange> {
         let now = Instant::now();
-        let live = self.held.iter().filter(|called| called.until > now);
+        let live = self.held.iter().filter(|granted| granted.until > now);
         live.copied().collect()
     }
 
     pub fn holds(&self, key: u16) -> bool {
         let held = self.held();
         held.iter()
-            .any(|called| (called.row.0..=called.row.1).contains(&key))
+            .any(|granted| (granted.row.0..=granted.row.1).contains(&key))
     }
 
     /// Takes a grant; tells whether it was accepted.
-    pub fn grant(&mut self, row: Row, until: Instant) -> bool {
-        let overlaps = |other: &Row| other.0 <= row.1 && other.1 >= row.0;
+    pub fn grant(&mut self, row: HeldRange, until: Instant) -> bool {
+        let overlaps = |other: &HeldRange| other.0 <= row.1 && other.1 >= row.0;
         if self
             .seen
             .iter()
@@ -93,62 +93,64 @@
         self.seen.retain(|seen| *seen != row);
         self.seen.push(row);
         self.cut(row);
-        self.held.push(Called { row, until });
+        self.held.push(GrantedRange { row, until });
         true
     }
 
     /// Takes keys back; what works on them goes on.
-    pub fn release(&mut self, row: Row) {
+    pub fn release(&mut self, row: HeldRange) {
         self.cut(row);
         self.released += 1;
     }
 
-    fn cut(&mut self, row: Row) {
+    fn cut(&mut self, row: HeldRange) {
         let held = std::mem::take(&mut self.held);
         self.held = held
             .into_iter()
-            .flat_map(|called| {
-                let parts = super::stand_in_server::left_out(called.row, &[row]);
-                parts.into_iter().map(move |row| Called { row, ..called })
+            .flat_map(|granted| {
+                let parts = super::stand_in_server::subtract_ranges(granted.row, &[row]);
+                parts
+                    .into_iter()
+                    .map(move |row| GrantedRange { row, ..granted })
             })
             .collect();
     }
 }
 
 /// Answers a release.
-fn released(row: Row) -> Response {
+fn released(row: HeldRange) -> Response {
     let word = format!("word-{}-{}", row.0, row.2);
     (StatusCode::OK, [("x-handover", word.as_str())]).into_response()
 }
 
 impl StandInServer {
     /// Takes a call about its keys.
-    pub(super) async fn called(&self, call: Call) -> Response {
+    pub(super) async fn handle_call(&self, call: Call) -> Response {
         // A life that has ended obeys nothing.
         if self.lock().dead {
             return StatusCode::BAD_GATEWAY.into_response();
         }
-        let life = self.life();
-        let fault = self.lock().called.fault;
+        let incarnation = self.incarnation();
+        let fault = self.lock().call_grants.fault;
         if let CallFault::Late(delay) = fault {
             let server = self.clone();
             tokio::spawn(async move {
                 tokio::time::sleep(delay).await;
-                server.obey(&server.life(), &call).await;
+                server.apply_call(&server.incarnation(), &call).await;
             });
-            return silent().await;
+            return never_reply().await;
         }
-        let answer = self.obey(&life, &call).await;
+        let answer = self.apply_call(&incarnation, &call).await;
         match fault {
-            CallFault::Unanswered => silent().await,
+            CallFault::Unanswered => never_reply().await,
             _ => answer,
         }
     }
 
-    async fn obey(&self, life: &str, call: &Call) -> Response {
+    async fn apply_call(&self, incarnation: &str, call: &Call) -> Response {
         let Some(until) = call.until else {
             let (first, last, _) = call.row;
-            self.lock().called.release(call.row);
+            self.lock().call_grants.release(call.row);
             // Its answer says that nothing works on the keys any more.
             loop {
                 let working = self.lock().working.clone();
@@ -157,28 +159,28 @@
                 }
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
-            self.tell_truth(life);
+            self.report_holdings(incarnation);
             return released(call.row);
         };
-        let accepted = until > Instant::now() && self.lock().called.grant(call.row, until);
-        self.tell_truth(life);
+        let accepted = until > Instant::now() && self.lock().call_grants.grant(call.row, until);
+        self.report_holdings(incarnation);
         match accepted {
             true => StatusCode::OK.into_response(),
             false => StatusCode::CONFLICT.into_response(),
         }
     }
 
-    fn tell_truth(&self, life: &str) {
-        let held = self.lock().called.held();
-        let rows: Vec<(Row, Instant)> = held
+    fn report_holdings(&self, incarnation: &str) {
+        let held = self.lock().call_grants.held();
+        let rows: Vec<(HeldRange, Instant)> = held
             .iter()
-            .map(|Called { row, until }| (*row, *until))
+            .map(|GrantedRange { row, until }| (*row, *until))
             .collect();
-        self.truth.hold(life, &rows);
+        self.truth.hold(incarnation, &rows);
     }
 }
 
 /// Never answers; whoever called hangs up.
-async fn silent() -> Response {
+async fn never_reply() -> Response {
     std::future::pending().await
 }
--- a/crates/rack/tests/system/support/mod.rs
+++ b/crates/rack/tests/system/support/mod.rs
@@ -2,7 +2,7 @@
 //! program beside each of them. Each test program uses a part of it.
 #![allow(dead_code, unused_imports)]
 
-mod called_keys;
+mod call_grants;
 mod node_process;
 mod raw_connection;
 mod stand_in_server;
@@ -11,18 +11,18 @@
 mod truth;
 mod world;
 
-pub use called_keys::CallFault;
+pub use call_grants::CallFault;
 pub use node_process::Lines;
 pub use node_process::NodeProcess;
 pub use node_process::keep_logs;
-pub use raw_connection::Anew;
+pub use raw_connection::ConnectionOutcome;
 pub use stand_in_server::ServerPlan;
 pub use stand_in_server::StandInServer;
 pub use stand_in_server::echo_of;
-pub use stand_in_store::Door;
+pub use stand_in_store::EndpointFault;
 pub use stand_in_store::StandInStore;
+pub use stand_in_store::StoreEndpoint;
 pub use stand_in_store::StoreFaults;
-pub use stand_in_store::TurnedAway;
 pub use texts::config;
 pub use texts::settings;
 pub use truth::Truth;
--- a/crates/rack/tests/system/support/raw_connection.rs
+++ b/crates/rack/tests/system/support/raw_connection.rs
@@ -10,7 +10,7 @@
 
 /// Is what became of a request on a connection of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Anew {
+pub enum ConnectionOutcome {
     Answered,
     /// Nobody listens.
     Refused,
@@ -20,8 +20,8 @@
 
 impl World {
     /// Sends requests behind one another on one connection, and closes it after a while.
-    pub async fn send_and_leave(&self, place: usize, sent: &[(&str, &str)], stay: Duration) {
-        let _stream = self.send_behind(place, sent).await;
+    pub async fn send_and_close(&self, place: usize, sent: &[(&str, &str)], stay: Duration) {
+        let _stream = self.send_pipelined(place, sent).await;
         tokio::time::sleep(stay).await;
     }
 
@@ -29,7 +29,7 @@
     /// the order in which they come.
     pub async fn send_all(&self, place: usize, ids: &[&str]) -> Vec<String> {
         let sent: Vec<(&str, &str)> = ids.iter().map(|id| ("/plain/1", *id)).collect();
-        let mut stream = self.send_behind(place, &sent).await;
+        let mut stream = self.send_pipelined(place, &sent).await;
         let mut text = String::new();
         while text.matches("done by").count() < ids.len() {
             let mut piece = [0; 4_096];
@@ -42,7 +42,7 @@
         ids.map(|(_, id)| id.to_owned()).collect()
     }
 
-    async fn send_behind(&self, place: usize, sent: &[(&str, &str)]) -> TcpStream {
+    async fn send_pipelined(&self, place: usize, sent: &[(&str, &str)]) -> TcpStream {
         let mut stream = TcpStream::connect(self.hosts[place].clients).await.unwrap();
         let requests = sent.iter().map(|(path, id)| {
             format!("GET {path} HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: {id}\r\nX-Deadline-Ms: 1500\r\n\r\n")
@@ -53,19 +53,19 @@
     }
 
     /// Sends a request on a connection of its own.
-    pub async fn ask_anew(&self, place: usize, path: &str) -> Anew {
+    pub async fn request_on_new_connection(&self, place: usize, path: &str) -> ConnectionOutcome {
         let Ok(mut stream) = TcpStream::connect(self.hosts[place].clients).await else {
-            return Anew::Refused;
+            return ConnectionOutcome::Refused;
         };
         let request = format!(
             "GET {path} HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: anew\r\nX-Deadline-Ms: 1500\r\n\r\n"
         );
         if stream.write_all(request.as_bytes()).await.is_err() {
-            return Anew::Cut;
+            return ConnectionOutcome::Cut;
         }
         match stream.read(&mut [0; 64]).await {
-            Ok(count) if count > 0 => Anew::Answered,
-            _ => Anew::Cut,
+            Ok(count) if count > 0 => ConnectionOutcome::Answered,
+            _ => ConnectionOutcome::Cut,
         }
     }
 
--- a/crates/rack/tests/system/support/stand_in_server.rs
+++ b/crates/rack/tests/system/support/stand_in_server.rs
@@ -28,22 +28,22 @@
 use tokio::task::AbortHandle;
 use tokio::task::JoinSet;
 
-use super::called_keys::Call;
-use super::called_keys::CallFault;
-use super::called_keys::CalledKeys;
-use super::truth::Row;
+use super::call_grants::Call;
+use super::call_grants::CallFault;
+use super::call_grants::CallGrants;
+use super::truth::HeldRange;
 use super::truth::Truth;
 
 /// The time between two heartbeats.
 pub const HEARTBEAT: Duration = Duration::from_millis(300);
 /// How soon the next one follows while something is to be released.
-const RELEASING: Duration = Duration::from_millis(50);
+const RELEASING_HEARTBEAT: Duration = Duration::from_millis(50);
 /// How often a new life tries to open the port of the one before.
-const REBIND: Duration = Duration::from_millis(2);
+const REBIND_INTERVAL: Duration = Duration::from_millis(2);
 /// The span over which arrivals at a cold server are counted.
 const SECOND: Duration = Duration::from_secs(1);
 /// How long a heartbeat waits for its answer.
-const PATIENCE: Duration = Duration::from_secs(1);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Says where a server is and what it is for.
 #[derive(Clone)]
@@ -52,9 +52,9 @@
     pub service: String,
     pub keyed: bool,
     /// Where it listens.
-    pub listens: SocketAddr,
+    pub listen: SocketAddr,
     /// The address that it tells, which leads to where it listens.
-    pub told: SocketAddr,
+    pub advertised: SocketAddr,
     /// Where its heartbeats go.
     pub control: SocketAddr,
 }
@@ -64,20 +64,20 @@
 pub struct StandInServer {
     plan: ServerPlan,
     pub(super) truth: Arc<Truth>,
-    state: Arc<Mutex<Seen>>,
+    state: Arc<Mutex<ServerState>>,
     port: Arc<Mutex<Option<AbortHandle>>>,
 }
 
 #[derive(Default)]
-pub(super) struct Seen {
+pub(super) struct ServerState {
     id: String,
-    born: u64,
+    started_ms: u64,
     sequence: u64,
-    holds: Vec<Row>,
+    holds: Vec<HeldRange>,
     /// What it holds by calls, where keys come that way.
-    pub(super) called: CalledKeys,
+    pub(super) call_grants: CallGrants,
     /// What it was told to release, until nothing works on it any more.
-    releasing: Vec<Row>,
+    releasing: Vec<HeldRange>,
     until: Option<Instant>,
     /// Keys that are being worked on.
     pub(super) working: Vec<u16>,
@@ -90,16 +90,16 @@
     cold_until: Option<Instant>,
     draining: bool,
     acknowledged: Option<Instant>,
-    work: Duration,
-    lose_answers: bool,
+    service_time: Duration,
+    drop_responses: bool,
     answer_bytes: usize,
     echo: bool,
     pub(super) dead: bool,
 }
 
 /// Is a heartbeat that is about to be sent.
-struct Beat {
-    life: String,
+struct PendingHeartbeat {
+    incarnation: String,
     url: String,
     body: Value,
     /// What it says was released; said again until it is acknowledged.
@@ -126,10 +126,10 @@
         };
         server.rename(&server.plan.id);
         server.open_port();
-        while TcpStream::connect(server.plan.listens).await.is_err() {
-            tokio::time::sleep(REBIND).await;
+        while TcpStream::connect(server.plan.listen).await.is_err() {
+            tokio::time::sleep(REBIND_INTERVAL).await;
         }
-        tokio::spawn(server.clone().beat());
+        tokio::spawn(server.clone().run_heartbeats());
         server
     }
 
@@ -148,13 +148,13 @@
     async fn serve(self) {
         let listener = loop {
             // The port of the life before is free a moment after that one has ended.
-            match TcpListener::bind(self.plan.listens).await {
+            match TcpListener::bind(self.plan.listen).await {
                 Ok(listener) => break listener,
-                Err(_) => tokio::time::sleep(REBIND).await,
+                Err(_) => tokio::time::sleep(REBIND_INTERVAL).await,
             }
         };
         let router = Router::new().fallback(any(answer)).with_state(self);
-        // Dropped with this life, it ends every connection.
+        // Dropped with this incarnation, it ends every connection.
         let mut connections = JoinSet::new();
         while let Ok((stream, _)) = listener.accept().await {
             let service = TowerToHyperService::new(router.clone());
@@ -163,19 +163,19 @@
         }
     }
 
-    /// Ends this life: it holds nothing, its port is closed, and it sends no heartbeats until it is born
+    /// Ends this incarnation: it holds nothing, its port is closed, and it sends no heartbeats until it is born
     /// again.
-    pub fn die(&self) {
+    pub fn crash(&self) {
         self.replace_port(None);
-        let life = self.life();
+        let incarnation = self.incarnation();
         self.lock().dead = true;
-        self.truth.drop_all(&life);
+        self.truth.drop_all(&incarnation);
     }
 
-    /// Starts the next life, under the same id or another; it knows nothing of the one before.
-    pub fn reborn(&self, id: &str) {
-        let life = self.life();
-        self.truth.drop_all(&life);
+    /// Starts the next incarnation, under the same id or another; it knows nothing of the one before.
+    pub fn restart_as(&self, id: &str) {
+        let incarnation = self.incarnation();
+        self.truth.drop_all(&incarnation);
         self.rename(id);
         self.open_port();
     }
@@ -184,23 +184,23 @@
         let mut state = self.lock();
         let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         let now = u64::try_from(now.unwrap().as_millis()).unwrap();
-        let kept = Seen {
+        let kept = ServerState {
             echo: state.echo,
-            work: state.work,
+            service_time: state.service_time,
             answer_bytes: state.answer_bytes,
-            ..Seen::default()
+            ..ServerState::default()
         };
-        *state = Seen {
+        *state = ServerState {
             id: id.to_owned(),
-            born: now.max(state.born + 1),
+            started_ms: now.max(state.started_ms + 1),
             ..kept
         };
     }
 
     /// Returns the id of this life and its birth.
-    pub fn life(&self) -> String {
+    pub fn incarnation(&self) -> String {
         let state = self.lock();
-        format!("{}@{}", state.id, state.born)
+        format!("{}@{}", state.id, state.started_ms)
     }
 
     /// Says that it will leave.
@@ -209,17 +209,17 @@
     }
 
     /// Breaks the connection after it has run a request.
-    pub fn lose_answers(&self, lose: bool) {
-        self.lock().lose_answers = lose;
+    pub fn drop_responses(&self, lose: bool) {
+        self.lock().drop_responses = lose;
     }
 
     /// Makes every request take this long.
-    pub fn set_work(&self, work: Duration) {
-        self.lock().work = work;
+    pub fn set_service_time(&self, service_time: Duration) {
+        self.lock().service_time = service_time;
     }
 
     /// Makes every answer this long.
-    pub fn set_answer(&self, bytes: usize) {
+    pub fn set_response_bytes(&self, bytes: usize) {
         self.lock().answer_bytes = bytes;
     }
 
@@ -239,9 +239,9 @@
     }
 
     fn count(&self, request: &str, finished: bool) -> u32 {
-        let life = self.life();
+        let incarnation = self.incarnation();
         let runs = self.truth.runs(request);
-        let own = runs.iter().filter(|run| run.server == life);
+        let own = runs.iter().filter(|run| run.server == incarnation);
         u32::try_from(own.filter(|run| run.finished || !finished).count()).unwrap()
     }
 
@@ -268,18 +268,18 @@
 
     /// Says what becomes of the calls that grant it keys.
     pub fn set_calls(&self, fault: CallFault) {
-        self.lock().called.fault = fault;
+        self.lock().call_grants.fault = fault;
     }
 
     /// Returns how many ranges it was asked to release.
     pub fn released(&self) -> u32 {
-        self.lock().called.released
+        self.lock().call_grants.released
     }
 
     /// Returns how many keys it holds now.
     pub fn keys(&self) -> u32 {
         let state = self.lock();
-        let called = state.called.held();
+        let called = state.call_grants.held();
         let held = state
             .holds
             .iter()
@@ -298,42 +298,50 @@
     }
 
     /// Tells whether its leaving was acknowledged.
-    pub fn is_acknowledged(&self) -> bool {
+    pub fn is_drain_acknowledged(&self) -> bool {
         self.lock().acknowledged.is_some()
     }
 
-    pub(super) fn lock(&self) -> MutexGuard<'_, Seen> {
+    pub(super) fn lock(&self) -> MutexGuard<'_, ServerState> {
         self.state.lock().unwrap()
     }
 
-    async fn beat(self) {
+    async fn run_heartbeats(self) {
         let http = reqwest::Client::builder().no_proxy().build().unwrap();
         loop {
-            let releasing = self.beat_once(&http).await;
-            tokio::time::sleep(if releasing { RELEASING } else { HEARTBEAT }).await;
+            let releasing = self.send_heartbeat(&http).await;
+            tokio::time::sleep(if releasing {
+                RELEASING_HEARTBEAT
+            } else {
+                HEARTBEAT
+            })
+            .await;
         }
     }
 
     /// Sends one heartbeat; tells whether something is still to be released.
-    async fn beat_once(&self, http: &reqwest::Client) -> bool {
-        let Some(beat) = self.next_beat() else {
+    async fn send_heartbeat(&self, http: &reqwest::Client) -> bool {
+        let Some(heartbeat) = self.next_heartbeat() else {
             return false;
         };
         let sent = Instant::now();
-        let call = http.put(beat.url).json(&beat.body).timeout(PATIENCE);
+        let call = http
+            .put(heartbeat.url)
+            .json(&heartbeat.body)
+            .timeout(HEARTBEAT_TIMEOUT);
         let answer = call.send().await;
         if let Ok(answer) = answer
             && answer.status().is_success()
             && let Ok(answer) = answer.json::<Value>().await
-            && self.life() == beat.life
+            && self.incarnation() == heartbeat.incarnation
         {
-            self.take(&beat.life, sent, &beat.freed, &answer);
+            self.handle_reply(&heartbeat.incarnation, sent, &heartbeat.freed, &answer);
         }
         !self.lock().releasing.is_empty()
     }
 
-    fn next_beat(&self) -> Option<Beat> {
-        let life = self.life();
+    fn next_heartbeat(&self) -> Option<PendingHeartbeat> {
+        let incarnation = self.incarnation();
         let mut state = self.lock();
         if state.dead {
             return None;
@@ -348,21 +356,27 @@
         let mut holds = state.holds.clone();
         holds.extend(&state.releasing);
         let body = json!({
-            "service": self.plan.service, "address": self.plan.told, "zone": "zone",
+            "service": self.plan.service, "address": self.plan.advertised, "zone": "zone",
             "version": "v1", "slots": 10, "state": if state.draining { "draining" } else { "ready" },
-            "cold_left": format!("{}ms", state.cold_left().as_millis()), "sequence": state.sequence, "born": state.born, "holds": holds,
+            "cold_left": format!("{}ms", state.cold_left().as_millis()), "sequence": state.sequence, "born": state.started_ms, "holds": holds,
             "freed": state.freed,
         });
         let url = format!("http://{}/instances/{}", self.plan.control, state.id);
-        Some(Beat {
-            life,
+        Some(PendingHeartbeat {
+            incarnation,
             url,
             body,
             freed: state.freed.clone(),
         })
     }
 
-    fn take(&self, life: &str, sent: Instant, told: &[(u16, u16, String)], answer: &Value) {
+    fn handle_reply(
+        &self,
+        incarnation: &str,
+        sent: Instant,
+        told: &[(u16, u16, String)],
+        answer: &Value,
+    ) {
         let mut state = self.lock();
         state.freed.retain(|freed| !told.contains(freed));
         if state.draining && state.acknowledged.is_none() {
@@ -379,36 +393,40 @@
         if until <= Instant::now() {
             return;
         }
-        let next: Vec<Row> = granted
+        let next: Vec<HeldRange> = granted
             .iter()
             .map(|(a, b, fence, _)| (*a, *b, *fence))
             .collect();
         let mut held = state.holds.clone();
         held.append(&mut state.releasing);
-        let released = held.iter().flat_map(|row| left_out(*row, &next));
+        let released = held.iter().flat_map(|row| subtract_ranges(*row, &next));
         state.releasing = released.collect();
         state.holds.clone_from(&next);
         state.until = Some(until);
         state.finish_releases();
         let mut all = next;
         all.extend(&state.releasing);
-        let all: Vec<(Row, Instant)> = all.into_iter().map(|row| (row, until)).collect();
-        self.truth.hold(life, &all);
+        let all: Vec<(HeldRange, Instant)> = all.into_iter().map(|row| (row, until)).collect();
+        self.truth.hold(incarnation, &all);
     }
 
     /// Sends the last call of a server that leaves.
-    pub async fn say_gone(&self) {
+    pub async fn deregister(&self) {
         let url = format!("http://{}/instances/{}", self.plan.control, self.lock().id);
         let http = reqwest::Client::builder().no_proxy().build().unwrap();
         // Nobody may be there to hear it.
-        http.delete(url).timeout(PATIENCE).send().await.ok();
+        http.delete(url)
+            .timeout(HEARTBEAT_TIMEOUT)
+            .send()
+            .await
+            .ok();
     }
 }
 
 /// Returns the parts of a row that none of the others covers.
-pub(super) fn left_out(row: Row, others: &[Row]) -> Vec<Row> {
+pub(super) fn subtract_ranges(row: HeldRange, others: &[HeldRange]) -> Vec<HeldRange> {
     let (_, last, fence) = row;
-    let mut others: Vec<&Row> = others.iter().collect();
+    let mut others: Vec<&HeldRange> = others.iter().collect();
     others.sort_unstable();
     let mut parts = Vec::new();
     // Beyond the last key there is none, so keys are counted in a wider type.
@@ -428,7 +446,7 @@
     parts
 }
 
-impl Seen {
+impl ServerState {
     fn cold_left(&self) -> Duration {
         let until = self.cold_until.unwrap_or_else(Instant::now);
         until.saturating_duration_since(Instant::now())
@@ -437,7 +455,7 @@
     /// Releases what nothing works on any more.
     fn finish_releases(&mut self) {
         let working = self.working.clone();
-        let (busy, done): (Vec<Row>, Vec<Row>) = self
+        let (busy, done): (Vec<HeldRange>, Vec<HeldRange>) = self
             .releasing
             .drain(..)
             .partition(|(first, last, _)| working.iter().any(|key| (first..=last).contains(&key)));
@@ -451,7 +469,7 @@
     }
 
     fn holds(&self, key: u16) -> bool {
-        if self.called.holds(key) {
+        if self.call_grants.holds(key) {
             return true;
         }
         let mut held = self.holds.iter();
@@ -462,7 +480,7 @@
 
 /// Marks a key as worked on for as long as this lives.
 struct Working {
-    state: Arc<Mutex<Seen>>,
+    state: Arc<Mutex<ServerState>>,
     key: Option<u16>,
 }
 
@@ -483,7 +501,7 @@
 ) -> Response {
     if matches!(uri.path(), "/grant" | "/release") {
         return match Call::parse(uri.path(), &body) {
-            Some(call) => server.called(call).await,
+            Some(call) => server.handle_call(call).await,
             None => StatusCode::BAD_REQUEST.into_response(),
         };
     }
@@ -493,8 +511,8 @@
     };
     let (id, key) = (text("x-request-id"), text("x-shard-key").parse().ok());
     let refused = [("x-not-executed", "1"), ("x-request-id", id.as_str())];
-    let life = server.life();
-    let (work, lose, long, echo, _working) = {
+    let incarnation = server.incarnation();
+    let (service_time, lose, long, echo, _working) = {
         let mut state = server.lock();
         if state.dead {
             return StatusCode::BAD_GATEWAY.into_response();
@@ -513,16 +531,22 @@
             key,
         };
         let (long, echo) = (state.answer_bytes, state.echo);
-        (state.work, state.lose_answers, long, echo, working)
+        (
+            state.service_time,
+            state.drop_responses,
+            long,
+            echo,
+            working,
+        )
     };
-    server.truth.begin(&id, &life);
+    server.truth.begin(&id, &incarnation);
     if echo {
         check_echoed(&server.truth, &id, &text("x-caller-service"), &body);
     }
     // A caller that hangs up ends this here.
-    tokio::time::sleep(work).await;
-    server.truth.finish(&id, &life);
-    let stamp = format!("stamp-of-{life}");
+    tokio::time::sleep(service_time).await;
+    server.truth.finish(&id, &incarnation);
+    let stamp = format!("stamp-of-{incarnation}");
     let stamped = [
         ("x-server-stamp", stamp.as_str()),
         ("x-request-id", id.as_str()),
@@ -544,9 +568,9 @@
 /// and its body, if it has one, is its id.
 fn check_echoed(truth: &Truth, id: &str, caller: &str, body: &[u8]) {
     if !id.ends_with(&format!("-{caller}")) {
-        truth.broken(format!("{id} came with {caller} as its origin"));
+        truth.record_violation(format!("{id} came with {caller} as its origin"));
     }
     if !body.is_empty() && body != id.as_bytes() {
-        truth.broken(format!("{id} came with another body"));
+        truth.record_violation(format!("{id} came with another body"));
     }
 }
--- a/crates/rack/tests/system/support/stand_in_store.rs
+++ b/crates/rack/tests/system/support/stand_in_store.rs
@@ -28,9 +28,9 @@
 use tokio::net::TcpListener;
 
 /// How many of the newest records one page holds.
-const PAGE: usize = 2;
-/// How long a lost answer stays away: longer than any caller waits.
-const LOST: Duration = Duration::from_secs(10);
+const PAGE_RECORDS: usize = 2;
+/// How long a lost answer stays unavailable: longer than any caller waits.
+const LOST_REPLY_DELAY: Duration = Duration::from_secs(10);
 
 /// Keeps the records of its topics, and lets callers in through doors that can be closed one by one.
 #[derive(Clone, Default)]
@@ -41,15 +41,15 @@
 /// Is one way in, the same store at an address of its own, which may turn its callers away while the
 /// store serves others.
 #[derive(Clone, Default)]
-pub struct Door {
-    turned_away: Arc<Mutex<Option<TurnedAway>>>,
+pub struct StoreEndpoint {
+    fault: Arc<Mutex<Option<EndpointFault>>>,
     /// Counts the times at which it fell silent: what was asked before such a time is not answered.
     silences: Arc<AtomicU32>,
 }
 
 /// Says how callers are turned away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TurnedAway {
+pub enum EndpointFault {
     /// Answered 503.
     Busy,
     /// Answered 429.
@@ -74,11 +74,11 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreFaults {
     /// Refuses every call.
-    pub away: bool,
+    pub unavailable: bool,
     /// Answers that much later.
     pub slow: Duration,
     /// Does every second append and does not say so.
-    pub loses_answers: bool,
+    pub drops_replies: bool,
     /// Does every second append that much later, and does not say so.
     pub late: Option<Duration>,
 }
@@ -89,18 +89,18 @@
     /// Listens on a free port of `ip`.
     pub async fn bind(ip: &str) -> (Self, SocketAddr) {
         let store = Self::default();
-        let (_, address) = store.open_door(ip).await;
+        let (_, address) = store.open_endpoint(ip).await;
         (store, address)
     }
 
     /// Opens a way in on a free port of `ip`.
-    pub async fn open_door(&self, ip: &str) -> (Door, SocketAddr) {
-        let door = Door::default();
+    pub async fn open_endpoint(&self, ip: &str) -> (StoreEndpoint, SocketAddr) {
+        let door = StoreEndpoint::default();
         let router = Router::new()
             .route("/log-newest", get(newest))
             .route("/log-read", get(read))
             .route("/log-append", post(append))
-            .layer(from_fn_with_state(door.clone(), enter))
+            .layer(from_fn_with_state(door.clone(), apply_fault))
             .with_state(self.clone());
         let listener = TcpListener::bind((ip, 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -133,9 +133,9 @@
     }
 
     /// Refuses every call from now on, or none.
-    pub fn set_away(&self, away: bool) {
+    pub fn set_unavailable(&self, unavailable: bool) {
         self.set_faults(StoreFaults {
-            away,
+            unavailable,
             ..StoreFaults::default()
         });
     }
@@ -165,7 +165,7 @@
 
     fn records(&self, fields: &Fields) -> Option<Vec<(String, Vec<u8>)>> {
         let state = self.state.lock().unwrap();
-        if state.faults.away {
+        if state.faults.unavailable {
             return None;
         }
         Some(
@@ -178,36 +178,36 @@
     }
 }
 
-impl Door {
+impl StoreEndpoint {
     /// Turns callers away from now on, or none.
-    pub fn turn_away(&self, how: Option<TurnedAway>) {
-        if how == Some(TurnedAway::Silent) {
+    pub fn set_fault(&self, how: Option<EndpointFault>) {
+        if how == Some(EndpointFault::Silent) {
             self.silences.fetch_add(1, Ordering::Relaxed);
         }
-        *self.turned_away.lock().unwrap() = how;
+        *self.fault.lock().unwrap() = how;
     }
 }
 
-async fn enter(State(door): State<Door>, request: Request, next: Next) -> Response {
-    let how = *door.turned_away.lock().unwrap();
+async fn apply_fault(State(door): State<StoreEndpoint>, request: Request, next: Next) -> Response {
+    let how = *door.fault.lock().unwrap();
     let silences = door.silences.load(Ordering::Relaxed);
     match how {
-        Some(TurnedAway::Busy) => StatusCode::SERVICE_UNAVAILABLE.into_response(),
-        Some(TurnedAway::TooMany) => StatusCode::TOO_MANY_REQUESTS.into_response(),
-        Some(TurnedAway::Silent) => lost().await,
+        Some(EndpointFault::Busy) => StatusCode::SERVICE_UNAVAILABLE.into_response(),
+        Some(EndpointFault::TooMany) => StatusCode::TOO_MANY_REQUESTS.into_response(),
+        Some(EndpointFault::Silent) => lost_reply().await,
         None => {
             let answer = next.run(request).await;
             match silences == door.silences.load(Ordering::Relaxed) {
                 true => answer,
-                false => lost().await,
+                false => lost_reply().await,
             }
         }
     }
 }
 
 /// Answers when nobody waits any more.
-async fn lost() -> Response {
-    tokio::time::sleep(LOST).await;
+async fn lost_reply() -> Response {
+    tokio::time::sleep(LOST_REPLY_DELAY).await;
     StatusCode::SERVICE_UNAVAILABLE.into_response()
 }
 
@@ -228,8 +228,8 @@
     let mut items: Vec<_> = left
         .map(|(key, value)| json!({"key": key, "value": STANDARD.encode(value), "offset": 0}))
         .collect();
-    let more = items.len() > PAGE;
-    items.truncate(PAGE);
+    let more = items.len() > PAGE_RECORDS;
+    items.truncate(PAGE_RECORDS);
     if more && let Some((key, value)) = store.take_between_pages() {
         store.write(&key, &value);
     }
@@ -275,15 +275,15 @@
         state.appends += 1;
         (state.faults, state.appends % 2 == 1)
     };
-    if faults.away {
+    if faults.unavailable {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     }
     if let Some(late) = faults.late.filter(|_| odd) {
         tokio::time::sleep(late).await;
     }
     let answer = store.append(&fields, &body);
-    if odd && (faults.loses_answers || faults.late.is_some()) {
-        tokio::time::sleep(LOST).await;
+    if odd && (faults.drops_replies || faults.late.is_some()) {
+        tokio::time::sleep(LOST_REPLY_DELAY).await;
     }
     answer
 }
--- a/crates/rack/tests/system/support/truth.rs
+++ b/crates/rack/tests/system/support/truth.rs
@@ -8,7 +8,7 @@
 const KEYS: usize = 65_536;
 
 /// Is a range of keys that a server holds, with its fencing token.
-pub type Row = (u16, u16, u64);
+pub type HeldRange = (u16, u16, u64);
 
 /// Collects what all servers see, and what must never be.
 #[derive(Default)]
@@ -19,15 +19,15 @@
 #[derive(Default)]
 struct State {
     runs: HashMap<String, Vec<Run>>,
-    holders: HashMap<String, Vec<(Row, Instant)>>,
+    holders: HashMap<String, Vec<(HeldRange, Instant)>>,
     /// For all keys the highest token, and who had it.
-    fences: Vec<Fenced>,
-    broken: Vec<String>,
+    highest_tokens: Vec<TokenRange>,
+    violations: Vec<String>,
 }
 
 /// Is a range of keys with the highest token that any server had them with.
 #[derive(Clone, Debug)]
-struct Fenced {
+struct TokenRange {
     first: u16,
     last: u16,
     highest: u64,
@@ -44,13 +44,13 @@
 
 impl Truth {
     /// Notes that a promise was broken.
-    pub fn broken(&self, what: String) {
-        self.state.lock().unwrap().broken.push(what);
+    pub fn record_violation(&self, what: String) {
+        self.state.lock().unwrap().violations.push(what);
     }
 
     /// Returns the promises that were broken.
-    pub fn all_broken(&self) -> Vec<String> {
-        self.state.lock().unwrap().broken.clone()
+    pub fn violations(&self) -> Vec<String> {
+        self.state.lock().unwrap().violations.clone()
     }
 
     /// Notes that a server begins a request.
@@ -89,43 +89,43 @@
 
     /// Notes what a life of a server holds until a moment; no other may hold the same key then, and a
     /// key comes to it with a higher token than any other had.
-    pub fn hold(&self, life: &str, rows: &[(Row, Instant)]) {
+    pub fn hold(&self, incarnation: &str, rows: &[(HeldRange, Instant)]) {
         let now = Instant::now();
         let mut state = self.state.lock().unwrap();
         let State {
             holders,
-            fences,
-            broken,
+            highest_tokens,
+            violations,
             ..
         } = &mut *state;
         for ((first, last, fence), _) in rows {
             for (other, held) in holders.iter() {
                 let mut live = held.iter().filter(|(_, end)| *end > now);
                 let common = live.find(|((a, b, _), _)| a <= last && b >= first);
-                if let Some((common, end)) = common.filter(|_| other != life) {
-                    broken.push(format!(
-                        "{life} gets {first}-{last}#{fence} while {other} holds {common:?} for {:?}",
+                if let Some((common, end)) = common.filter(|_| other != incarnation) {
+                    violations.push(format!(
+                        "{incarnation} gets {first}-{last}#{fence} while {other} holds {common:?} for {:?}",
                         *end - now
                     ));
                 }
             }
-            let outdated = raise(fences, life, (*first, *last, *fence));
-            broken.extend(outdated.map(|known| {
-                let Fenced {
+            let outdated = raise_token(highest_tokens, incarnation, (*first, *last, *fence));
+            violations.extend(outdated.map(|known| {
+                let TokenRange {
                     first: key,
                     highest,
                     holder,
                     ..
                 } = known;
-                format!("{life} gets {key} with {fence}, and {holder} had it with {highest}")
+                format!("{incarnation} gets {key} with {fence}, and {holder} had it with {highest}")
             }));
         }
-        holders.insert(life.to_owned(), rows.to_vec());
+        holders.insert(incarnation.to_owned(), rows.to_vec());
     }
 
     /// Notes that a life of a server holds nothing any more.
-    pub fn drop_all(&self, life: &str) {
-        self.state.lock().unwrap().holders.remove(life);
+    pub fn drop_all(&self, incarnation: &str) {
+        self.state.lock().unwrap().holders.remove(incarnation);
     }
 
     /// Returns how many keys some server holds now.
@@ -143,9 +143,13 @@
 
 /// Notes that a life of a server has a range with its token; returns the first part of it that another had
 /// with one as high. It goes by ranges: key by key a stand-in would take as long for a grant as a call may.
-fn raise(fences: &mut Vec<Fenced>, life: &str, (first, last, fence): Row) -> Option<Fenced> {
-    if fences.is_empty() {
-        fences.push(Fenced {
+fn raise_token(
+    highest_tokens: &mut Vec<TokenRange>,
+    incarnation: &str,
+    (first, last, fence): HeldRange,
+) -> Option<TokenRange> {
+    if highest_tokens.is_empty() {
+        highest_tokens.push(TokenRange {
             first: 0,
             last: u16::MAX,
             highest: 0,
@@ -153,27 +157,27 @@
         });
     }
     let mut outdated = None;
-    let mut parts: Vec<Fenced> = Vec::new();
-    for known in fences.drain(..) {
+    let mut parts: Vec<TokenRange> = Vec::new();
+    for known in highest_tokens.drain(..) {
         if known.last < first || known.first > last {
             parts.push(known);
             continue;
         }
         let (from, to) = (known.first.max(first), known.last.min(last));
-        let part = |first, last| Fenced {
+        let part = |first, last| TokenRange {
             first,
             last,
             ..known.clone()
         };
-        if known.holder != life && known.highest >= fence {
+        if known.holder != incarnation && known.highest >= fence {
             outdated.get_or_insert(part(from, to));
         }
         if known.first < from {
             parts.push(part(known.first, from - 1));
         }
-        parts.push(Fenced {
+        parts.push(TokenRange {
             highest: known.highest.max(fence),
-            holder: life.to_owned(),
+            holder: incarnation.to_owned(),
             ..part(from, to)
         });
         if known.last > to {
@@ -188,6 +192,6 @@
         }
         alike
     });
-    *fences = parts;
+    *highest_tokens = parts;
     outdated
 }
--- a/crates/rack/tests/system/support/world.rs
+++ b/crates/rack/tests/system/support/world.rs
@@ -21,21 +21,21 @@
 use super::node_process::keep_logs;
 use super::stand_in_server::ServerPlan;
 use super::stand_in_server::StandInServer;
-use super::stand_in_store::Door;
 use super::stand_in_store::StandInStore;
+use super::stand_in_store::StoreEndpoint;
 use super::texts::config;
 use super::texts::settings;
 use super::truth::Truth;
 
 /// The first three bytes of the loopback addresses of this test process's hosts; two tests run at
 /// the same time, also in different processes, and must not share ports.
-static NEXT_NET: AtomicU64 = AtomicU64::new(1);
+static NEXT_SUBNET: AtomicU64 = AtomicU64::new(1);
 
 /// Keys that are asked for to know whether all are served.
-const SAMPLE: [u16; 8] = [0, 9_000, 18_000, 27_000, 36_000, 45_000, 54_000, 65_535];
+const SAMPLE_KEYS: [u16; 8] = [0, 9_000, 18_000, 27_000, 36_000, 45_000, 54_000, 65_535];
 
 /// A link that holds nothing up, in Mbit/s.
-const WIDE: f64 = 1_000.0;
+const FAST_LINK_MBPS: f64 = 1_000.0;
 
 /// Is a platform with its hosts.
 pub struct World {
@@ -45,20 +45,20 @@
     folder: TempDir,
     http: reqwest::Client,
     /// The first three bytes of the hosts' addresses.
-    net: String,
+    subnet: String,
     /// The bandwidth of the hosts' links, in Mbit/s.
     link: f64,
     /// How servers are granted keys, in the words of the settings.
     grants: &'static str,
     /// How many hosts there ever were; their names and addresses are not used again.
-    made: usize,
+    host_count: usize,
 }
 
 /// Is one host.
 pub struct Host {
     pub server: StandInServer,
     /// This host's way to the store.
-    pub store: Door,
+    pub store: StoreEndpoint,
     pub(super) clients: SocketAddr,
     readiness: SocketAddr,
     settings: PathBuf,
@@ -66,9 +66,9 @@
     lines: Lines,
 }
 
-/// Is what a client got.
+/// Is what a client response.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Got {
+pub struct ClientResponse {
     pub status: Option<StatusCode>,
     pub body: String,
     pub retry_after: Option<String>,
@@ -77,12 +77,12 @@
 impl World {
     /// Starts hosts, each for one service; services named `keyed` are divided by key.
     pub async fn start(services: &[&str]) -> Self {
-        Self::start_with(services, WIDE, "heartbeat").await
+        Self::start_with(services, FAST_LINK_MBPS, "heartbeat").await
     }
 
     /// Starts hosts whose servers are granted keys by call.
     pub async fn start_by_call(services: &[&str]) -> Self {
-        Self::start_with(services, WIDE, "request").await
+        Self::start_with(services, FAST_LINK_MBPS, "request").await
     }
 
     /// Starts hosts whose links are this wide, in Mbit/s.
@@ -91,12 +91,12 @@
     }
 
     async fn start_with(services: &[&str], link: f64, grants: &'static str) -> Self {
-        let net = format!(
+        let subnet = format!(
             "127.{}.{}",
             1 + std::process::id() % 250,
-            NEXT_NET.fetch_add(1, Ordering::Relaxed)
+            NEXT_SUBNET.fetch_add(1, Ordering::Relaxed)
         );
-        let (store, _) = StandInStore::bind(&format!("{net}.200")).await;
+        let (store, _) = StandInStore::bind(&format!("{subnet}.200")).await;
         store.write("config", &config(1, 1_000));
         let folder = tempfile::tempdir().unwrap();
         let mut world = Self {
@@ -105,10 +105,10 @@
             truth: Arc::default(),
             folder,
             http: reqwest::Client::builder().no_proxy().build().unwrap(),
-            net,
+            subnet,
             link,
             grants,
-            made: 0,
+            host_count: 0,
         };
         for service in services {
             world.add_host(service).await;
@@ -121,15 +121,15 @@
 
     /// Adds a host with its server; its node is still to be started. Returns its place.
     pub async fn add_host(&mut self, service: &str) -> usize {
-        let host = self.host(self.made, service).await;
-        self.made += 1;
+        let host = self.host(self.host_count, service).await;
+        self.host_count += 1;
         self.hosts.push(host);
         self.hosts.len() - 1
     }
 
     async fn host(&self, place: usize, service: &str) -> Host {
-        let ip = format!("{}.{}", self.net, place + 1);
-        let (store_door, store) = self.store.open_door(&ip).await;
+        let ip = format!("{}.{}", self.subnet, place + 1);
+        let (store_endpoint, store) = self.store.open_endpoint(&ip).await;
         // Every host has an address of its own, so all use the same ports, below those that the
         // kernel gives to outgoing connections.
         let port = |port| SocketAddr::new(ip.parse().unwrap(), port);
@@ -152,13 +152,13 @@
             id: format!("server-{place}"),
             service: service.to_owned(),
             keyed: service == "keyed",
-            listens: server,
-            told: server,
+            listen: server,
+            advertised: server,
             control,
         };
         Host {
             server: StandInServer::spawn(plan, Arc::clone(&self.truth)).await,
-            store: store_door,
+            store: store_endpoint,
             clients,
             readiness,
             settings: path,
@@ -179,38 +179,53 @@
     }
 
     /// Writes a new configuration whose routes wait for twenty seconds.
-    pub fn write_patient_config(&self, version: u64) {
+    pub fn write_long_timeout_config(&self, version: u64) {
         self.store.write("config", &config(version, 20_000));
     }
 
-    fn request(&self, place: usize, id: &str, path: &str, patience_ms: u32) -> RequestBuilder {
+    fn build_request(&self, place: usize, id: &str, path: &str, timeout_ms: u32) -> RequestBuilder {
         let url = format!("http://{}{path}", self.hosts[place].clients);
         self.http
             .get(url)
             .header("host", "shop.example")
             .header("x-request-id", id)
-            .header("x-deadline-ms", patience_ms.to_string())
+            .header("x-deadline-ms", timeout_ms.to_string())
     }
 
     /// Sends a request whose client waits for less time than any attempt needs.
-    pub async fn ask_hastily(&self, place: usize, id: &str, path: &str) -> Option<StatusCode> {
-        let request = self.request(place, id, path, 30);
+    pub async fn request_with_short_timeout(
+        &self,
+        place: usize,
+        id: &str,
+        path: &str,
+    ) -> Option<StatusCode> {
+        let request = self.build_request(place, id, path, 30);
         let answer = request.send().await;
         answer.ok().map(|answer| answer.status())
     }
 
     /// Sends a request whose client waits for twenty seconds; nothing if the connection ends
     /// without an answer.
-    pub async fn ask_patiently(&self, place: usize, id: &str, path: &str) -> Option<StatusCode> {
-        let request = self.request(place, id, path, 20_000);
+    pub async fn request_with_long_timeout(
+        &self,
+        place: usize,
+        id: &str,
+        path: &str,
+    ) -> Option<StatusCode> {
+        let request = self.build_request(place, id, path, 20_000);
         let answer = request.send().await;
         answer.ok().map(|answer| answer.status())
     }
 
     /// Sends a request whose client waits for twenty seconds, and returns how long its answer is;
     /// nothing unless it came whole.
-    pub async fn fetch_patiently(&self, place: usize, id: &str, path: &str) -> Option<usize> {
-        let request = self.request(place, id, path, 20_000);
+    pub async fn fetch_with_long_timeout(
+        &self,
+        place: usize,
+        id: &str,
+        path: &str,
+    ) -> Option<usize> {
+        let request = self.build_request(place, id, path, 20_000);
         let answer = request.send().await.ok()?;
         answer.bytes().await.ok().map(|body| body.len())
     }
@@ -224,7 +239,7 @@
     }
 
     /// Tells the program on a host that its settings file has changed.
-    pub fn hang_up(&self, place: usize) {
+    pub fn send_sighup(&self, place: usize) {
         self.hosts[place].process().signal(Signal::HUP);
     }
 
@@ -260,8 +275,8 @@
     }
 
     /// Waits until the program on a host has ended by itself.
-    pub async fn ended(&mut self, place: usize, patience: Duration) -> bool {
-        let until = Instant::now() + patience;
+    pub async fn wait_for_exit(&mut self, place: usize, timeout: Duration) -> bool {
+        let until = Instant::now() + timeout;
         while Instant::now() < until {
             if self.hosts[place].process.as_mut().unwrap().has_ended() {
                 return true;
@@ -292,21 +307,27 @@
     }
 
     /// Sends a request to a host; the path's first part names its route.
-    pub async fn ask(&self, place: usize, id: &str, path: &str, key: Option<u16>) -> Got {
-        let request = self.request(place, id, path, 1_500);
+    pub async fn request(
+        &self,
+        place: usize,
+        id: &str,
+        path: &str,
+        key: Option<u16>,
+    ) -> ClientResponse {
+        let request = self.build_request(place, id, path, 1_500);
         let mut request = request.header("x-caller-service", "a-lie");
         if let Some(key) = key {
             request = request.header("x-shard-key", key.to_string());
         }
         let Ok(answer) = request.send().await else {
-            return Got {
+            return ClientResponse {
                 status: None,
                 body: String::new(),
                 retry_after: None,
             };
         };
         let retry_after = answer.headers().get("retry-after");
-        Got {
+        ClientResponse {
             status: Some(answer.status()),
             retry_after: retry_after.map(|value| value.to_str().unwrap().to_owned()),
             body: answer.text().await.unwrap_or_default(),
@@ -314,22 +335,22 @@
     }
 
     /// Returns after which time every key of a sample is served at every host, to a fifth of a second:
-    /// looks follow one another sooner than a request without an owner is refused.
-    pub async fn served_after(&self, patience: Duration) -> Duration {
+    /// checks follow one another sooner than a request without an owner is refused.
+    pub async fn time_until_served(&self, timeout: Duration) -> Duration {
         let started = Instant::now();
-        let mut looks = futures::stream::FuturesUnordered::new();
+        let mut checks = futures::stream::FuturesUnordered::new();
         let mut tick = tokio::time::interval(Duration::from_millis(200));
         loop {
             tokio::select! {
-                _ = tick.tick() => looks.push(async {
-                    let begun = started.elapsed();
-                    (begun, self.all_served().await)
+                _ = tick.tick() => checks.push(async {
+                    let check_start = started.elapsed();
+                    (check_start, self.all_served().await)
                 }),
-                Some((begun, served)) = looks.next() => {
+                Some((check_start, served)) = checks.next() => {
                     if served {
-                        return begun;
+                        return check_start;
                     }
-                    assert!(begun < patience, "not served after {begun:?}");
+                    assert!(check_start < timeout, "not served after {check_start:?}");
                 }
             }
         }
@@ -337,10 +358,10 @@
 
     async fn all_served(&self) -> bool {
         let places = 0..self.hosts.len();
-        let asks = places.flat_map(|place| SAMPLE.map(|key| (place, key)));
+        let asks = places.flat_map(|place| SAMPLE_KEYS.map(|key| (place, key)));
         let asks = asks.map(|(place, key)| async move {
             let id = format!("look-{key}");
-            self.ask(place, &id, "/keyed/1", Some(key)).await.status
+            self.request(place, &id, "/keyed/1", Some(key)).await.status
         });
         let statuses = futures::future::join_all(asks).await;
         statuses
@@ -349,25 +370,25 @@
     }
 
     /// Waits until every key of a sample is served at every host.
-    pub async fn settled(&self, patience: Duration) -> Duration {
+    pub async fn wait_until_served(&self, timeout: Duration) -> Duration {
         let started = Instant::now();
         loop {
             let mut served = 0;
             for place in 0..self.hosts.len() {
-                for key in SAMPLE {
-                    let got = self
-                        .ask(place, &format!("settle-{key}"), "/keyed/1", Some(key))
+                for key in SAMPLE_KEYS {
+                    let response = self
+                        .request(place, &format!("settle-{key}"), "/keyed/1", Some(key))
                         .await;
-                    served += usize::from(got.status == Some(StatusCode::OK));
+                    served += usize::from(response.status == Some(StatusCode::OK));
                 }
             }
-            if served == self.hosts.len() * SAMPLE.len() {
+            if served == self.hosts.len() * SAMPLE_KEYS.len() {
                 return started.elapsed();
             }
             assert!(
-                started.elapsed() < patience,
+                started.elapsed() < timeout,
                 "{served} of {} are served",
-                self.hosts.len() * SAMPLE.len()
+                self.hosts.len() * SAMPLE_KEYS.len()
             );
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -381,7 +402,7 @@
             return;
         }
         let lines = self.hosts.iter().map(|host| &host.lines);
-        keep_logs(&format!("quetzalrack-world-{}", self.net), lines);
+        keep_logs(&format!("quetzalrack-world-{}", self.subnet), lines);
     }
 }
 
--- a/crates/rack/tests/system/unread_output.rs
+++ b/crates/rack/tests/system/unread_output.rs
@@ -17,23 +17,23 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn full_pipe() {
     let mut world = World::start(&["plain", "keyed"]).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     world.kill_node(0);
     world.start_node_unread(0);
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     let until = Instant::now() + FILL_TIME;
     let mut number = 0;
     while Instant::now() < until {
         number += 1;
         let status = world
-            .ask_hastily(0, &format!("hasty-{number}"), "/plain/1")
+            .request_with_short_timeout(0, &format!("hasty-{number}"), "/plain/1")
             .await;
         assert_eq!(status, Some(StatusCode::SERVICE_UNAVAILABLE));
     }
     for number in 0..200 {
         let asked = Instant::now();
         let got = world
-            .ask(0, &format!("served-{number}"), "/plain/1", None)
+            .request(0, &format!("served-{number}"), "/plain/1", None)
             .await;
         assert_eq!(got.status, Some(StatusCode::OK));
         assert!(
