--- a/crates/rack/tests/system/support/call_grants.rs
+++ b/crates/rack/tests/system/support/call_grants.rs
@@ -1,4 +1,4 @@
-//! What a stand-in server holds by calls, and how its answers to them get lost.
+//! The grants that a stand-in server receives by calls, and faults in its replies to them.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,25 +11,25 @@
 use super::stand_in_server::StandInServer;
 use super::truth::HeldRange;
 
-/// Says what becomes of calls.
+/// Fault in the handling of calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum CallFault {
     #[default]
     None,
-    /// They are obeyed at once and not answered.
+    /// Calls are applied at once without a reply.
     Unanswered,
-    /// They are obeyed this much later and not answered.
+    /// Calls are applied after this delay without a reply.
     Late(Duration),
 }
 
-/// Is a range with its end.
+/// A granted range and when its hold ends.
 #[derive(Clone, Copy, Debug)]
 pub struct GrantedRange {
     pub row: HeldRange,
     pub until: Instant,
 }
 
-/// Is what a life of a server holds by calls.
+/// What an incarnation of a server holds by calls.
 #[derive(Default)]
 pub struct CallGrants {
     held: Vec<GrantedRange>,
@@ -38,15 +38,15 @@
     pub released: u32,
 }
 
-/// Is a call as it came.
+/// A received call.
 pub struct Call {
     pub row: HeldRange,
-    /// The end of the hold; none for a release.
+    /// End of the hold; `None` for a release.
     pub until: Option<Instant>,
 }
 
 impl Call {
-    /// Reads a call; nothing if it is malformed.
+    /// Parses a call; returns `None` if it is malformed.
     pub fn parse(path: &str, body: &[u8]) -> Option<Self> {
         let body: Value = serde_json::from_slice(body).ok()?;
         let key = |name: &str| u16::try_from(body[name].as_u64()?).ok();
@@ -67,7 +67,7 @@
 }
 
 impl CallGrants {
-    /// Returns what is held now.
+    /// Returns the ranges that are held now.
     pub fn held(&self) -> Vec<GrantedRange> {
         let now = Instant::now();
         let live = self.held.iter().filter(|granted| granted.until > now);
@@ -80,7 +80,8 @@
             .any(|granted| (granted.row.0..=granted.row.1).contains(&key))
     }
 
-    /// Takes a grant; tells whether it was accepted.
+    /// Applies a grant unless an overlapping range was seen with a higher token; returns whether it
+    /// was accepted.
     pub fn grant(&mut self, row: HeldRange, until: Instant) -> bool {
         let overlaps = |other: &HeldRange| other.0 <= row.1 && other.1 >= row.0;
         if self
@@ -97,7 +98,7 @@
         true
     }
 
-    /// Takes keys back; what works on them goes on.
+    /// Releases keys; requests that are running on them continue.
     pub fn release(&mut self, row: HeldRange) {
         self.cut(row);
         self.released += 1;
@@ -117,16 +118,16 @@
     }
 }
 
-/// Answers a release.
+/// Returns the reply to a release.
 fn released(row: HeldRange) -> Response {
     let word = format!("word-{}-{}", row.0, row.2);
     (StatusCode::OK, [("x-handover", word.as_str())]).into_response()
 }
 
 impl StandInServer {
-    /// Takes a call about its keys.
+    /// Handles a call that grants or releases keys.
     pub(super) async fn handle_call(&self, call: Call) -> Response {
-        // A life that has ended obeys nothing.
+        // A crashed server applies no calls.
         if self.lock().dead {
             return StatusCode::BAD_GATEWAY.into_response();
         }
@@ -140,10 +141,10 @@
             });
             return never_reply().await;
         }
-        let answer = self.apply_call(&incarnation, &call).await;
+        let reply = self.apply_call(&incarnation, &call).await;
         match fault {
             CallFault::Unanswered => never_reply().await,
-            _ => answer,
+            _ => reply,
         }
     }
 
@@ -151,7 +152,7 @@
         let Some(until) = call.until else {
             let (first, last, _) = call.row;
             self.lock().call_grants.release(call.row);
-            // Its answer says that nothing works on the keys any more.
+            // The reply to a release confirms that no requests are running on the keys.
             loop {
                 let working = self.lock().working.clone();
                 if !working.iter().any(|key| (first..=last).contains(key)) {
@@ -180,7 +181,7 @@
     }
 }
 
-/// Never answers; whoever called hangs up.
+/// Never completes; the caller closes the connection.
 async fn never_reply() -> Response {
     std::future::pending().await
 }
--- a/crates/rack/tests/system/support/mod.rs
+++ b/crates/rack/tests/system/support/mod.rs
@@ -1,5 +1,5 @@
-//! A small platform on loopback: a store, backend servers that send heartbeats, and the real
-//! program beside each of them. Each test program uses a part of it.
+//! A small platform on loopback: a store, backend servers that send heartbeats, and the router
+//! beside each of them. Each test program uses only a part of it.
 #![allow(dead_code, unused_imports)]
 
 mod call_grants;
--- a/crates/rack/tests/system/support/node_process.rs
+++ b/crates/rack/tests/system/support/node_process.rs
@@ -1,4 +1,4 @@
-//! The real program, as a process of its own.
+//! The router as a child process.
 
 use std::fs;
 use std::io::BufRead;
@@ -17,33 +17,33 @@
 use rustix::process::kill_process;
 use serde_json::Value;
 
-/// What the processes of a host have logged, one after the other.
+/// Lines logged by the successive processes of a host.
 pub type Lines = Arc<Mutex<Vec<Value>>>;
 
-/// Writes what the programs of each host have logged into a folder of this name, and prints where.
+/// Writes the logs of each host into a temporary folder of this name and prints its path.
 pub fn keep_logs<'a, L>(name: &str, hosts: L)
 where
     L: Iterator<Item = &'a Lines>,
 {
     let folder = std::env::temp_dir().join(name);
     fs::create_dir_all(&folder).unwrap();
-    for (place, lines) in hosts.enumerate() {
+    for (index, lines) in hosts.enumerate() {
         let lines = lines.lock().unwrap();
         let text: Vec<String> = lines.iter().map(Value::to_string).collect();
-        fs::write(folder.join(format!("node-{place}.log")), text.join("\n")).unwrap();
+        fs::write(folder.join(format!("node-{index}.log")), text.join("\n")).unwrap();
     }
     println!("the logs are in {}", folder.display());
 }
 
-/// Is a running program; dropped, it is killed.
+/// A running router process, killed on drop.
 pub struct NodeProcess {
     child: Child,
-    /// Its output, if nobody reads that.
+    /// Standard output, if it is not being read.
     unread: Option<ChildStdout>,
 }
 
 impl NodeProcess {
-    /// Starts the program; what it logs is added to `lines`.
+    /// Starts the router and appends what it logs to `lines`.
     pub fn spawn(settings: &Path, arguments: &[String], lines: &Lines) -> Self {
         let mut process = Self::spawn_unread(settings, arguments);
         let lines = Arc::clone(lines);
@@ -57,7 +57,7 @@
         process
     }
 
-    /// Starts the program with a reader of its output that never reads.
+    /// Starts the router with an output pipe that is never read.
     pub fn spawn_unread(settings: &Path, arguments: &[String]) -> Self {
         let mut child = Command::new(env!("CARGO_BIN_EXE_quetzalrack-rack"))
             .env("QUETZALRACK_BOOT", settings)
@@ -69,18 +69,17 @@
         Self { child, unread }
     }
 
-    /// Returns the id of the process.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal.
     pub fn signal(&self, signal: Signal) {
         let id = Pid::from_raw(i32::try_from(self.id()).unwrap()).unwrap();
         kill_process(id, signal).unwrap();
     }
 
-    /// Tells whether it has ended by itself.
+    /// Returns whether the process has exited by itself.
     pub fn has_ended(&mut self) -> bool {
         self.child.try_wait().unwrap().is_some()
     }
@@ -88,7 +87,7 @@
 
 impl Drop for NodeProcess {
     fn drop(&mut self) {
-        // It may be gone already.
+        // The process may have exited already.
         self.child.kill().ok();
         self.child.wait().ok();
     }
--- a/crates/rack/tests/system/support/raw_connection.rs
+++ b/crates/rack/tests/system/support/raw_connection.rs
@@ -1,4 +1,4 @@
-//! Clients that write their requests themselves.
+//! Clients that write raw HTTP on a connection of their own.
 
 use std::time::Duration;
 
@@ -8,28 +8,28 @@
 
 use super::World;
 
-/// Is what became of a request on a connection of its own.
+/// Result of a request on a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionOutcome {
     Answered,
-    /// Nobody listens.
+    /// No process listens on the port.
     Refused,
-    /// The connection was opened, and ended without an answer.
+    /// The connection was opened and ended without a response.
     Cut,
 }
 
 impl World {
-    /// Sends requests behind one another on one connection, and closes it after a while.
-    pub async fn send_and_close(&self, place: usize, sent: &[(&str, &str)], stay: Duration) {
-        let _stream = self.send_pipelined(place, sent).await;
+    /// Sends pipelined requests on one connection and closes it after `stay`.
+    pub async fn send_and_close(&self, index: usize, sent: &[(&str, &str)], stay: Duration) {
+        let _stream = self.send_pipelined(index, sent).await;
         tokio::time::sleep(stay).await;
     }
 
-    /// Sends requests behind one another on one connection, and returns the ids of the answers in
-    /// the order in which they come.
-    pub async fn send_all(&self, place: usize, ids: &[&str]) -> Vec<String> {
+    /// Sends pipelined requests on one connection and returns the ids of the responses in order of
+    /// arrival.
+    pub async fn send_all(&self, index: usize, ids: &[&str]) -> Vec<String> {
         let sent: Vec<(&str, &str)> = ids.iter().map(|id| ("/plain/1", *id)).collect();
-        let mut stream = self.send_pipelined(place, &sent).await;
+        let mut stream = self.send_pipelined(index, &sent).await;
         let mut text = String::new();
         while text.matches("done by").count() < ids.len() {
             let mut piece = [0; 4_096];
@@ -42,8 +42,8 @@
         ids.map(|(_, id)| id.to_owned()).collect()
     }
 
-    async fn send_pipelined(&self, place: usize, sent: &[(&str, &str)]) -> TcpStream {
-        let mut stream = TcpStream::connect(self.hosts[place].clients).await.unwrap();
+    async fn send_pipelined(&self, index: usize, sent: &[(&str, &str)]) -> TcpStream {
+        let mut stream = TcpStream::connect(self.hosts[index].clients).await.unwrap();
         let requests = sent.iter().map(|(path, id)| {
             format!("GET {path} HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: {id}\r\nX-Deadline-Ms: 1500\r\n\r\n")
         });
@@ -52,9 +52,9 @@
         stream
     }
 
-    /// Sends a request on a connection of its own.
-    pub async fn request_on_new_connection(&self, place: usize, path: &str) -> ConnectionOutcome {
-        let Ok(mut stream) = TcpStream::connect(self.hosts[place].clients).await else {
+    /// Sends a request on a new connection.
+    pub async fn request_on_new_connection(&self, index: usize, path: &str) -> ConnectionOutcome {
+        let Ok(mut stream) = TcpStream::connect(self.hosts[index].clients).await else {
             return ConnectionOutcome::Refused;
         };
         let request = format!(
@@ -69,30 +69,36 @@
         }
     }
 
-    /// Sends pieces of text on one connection, a moment apart, and returns all that comes back within
-    /// a while.
-    pub async fn send_pieces(&self, place: usize, pieces: &[&str], stay: Duration) -> String {
-        let mut stream = TcpStream::connect(self.hosts[place].clients).await.unwrap();
+    /// Sends texts on one connection with short pauses between them, and returns everything that is
+    /// received within `stay` after the last.
+    pub async fn send_pieces(&self, index: usize, pieces: &[&str], stay: Duration) -> String {
+        let mut stream = TcpStream::connect(self.hosts[index].clients).await.unwrap();
         for piece in pieces {
             stream.write_all(piece.as_bytes()).await.unwrap();
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let mut text = Vec::new();
-        // The node keeps the connection open, so reading ends with the time.
+        // The node keeps the connection open, so reading ends at the timeout.
         tokio::time::timeout(stay, stream.read_to_end(&mut text))
             .await
             .ok();
         String::from_utf8(text).unwrap()
     }
 
-    /// Sends two texts on one connection with a rest between them, and returns what comes back.
-    pub async fn send_apart(&self, place: usize, one: &str, rest: Duration, other: &str) -> String {
-        let mut stream = TcpStream::connect(self.hosts[place].clients).await.unwrap();
-        stream.write_all(one.as_bytes()).await.unwrap();
-        tokio::time::sleep(rest).await;
-        stream.write_all(other.as_bytes()).await.unwrap();
+    /// Sends two texts on one connection with a pause between them, and returns what is received.
+    pub async fn send_apart(
+        &self,
+        index: usize,
+        first: &str,
+        pause: Duration,
+        second: &str,
+    ) -> String {
+        let mut stream = TcpStream::connect(self.hosts[index].clients).await.unwrap();
+        stream.write_all(first.as_bytes()).await.unwrap();
+        tokio::time::sleep(pause).await;
+        stream.write_all(second.as_bytes()).await.unwrap();
         let mut text = Vec::new();
-        // The node keeps the connection open, so reading ends with the time.
+        // The node keeps the connection open, so reading ends at the timeout.
         tokio::time::timeout(Duration::from_secs(1), stream.read_to_end(&mut text))
             .await
             .ok();
--- a/crates/rack/tests/system/support/stand_in_server.rs
+++ b/crates/rack/tests/system/support/stand_in_server.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a backend server that holds keys by heartbeat and checks them.
+//! A stand-in for a backend server that is granted keys and checks each request against them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,32 +34,31 @@
 use super::truth::HeldRange;
 use super::truth::Truth;
 
-/// The time between two heartbeats.
+/// Interval between two heartbeats.
 pub const HEARTBEAT: Duration = Duration::from_millis(300);
-/// How soon the next one follows while something is to be released.
+/// Interval between heartbeats while keys are being released.
 const RELEASING_HEARTBEAT: Duration = Duration::from_millis(50);
-/// How often a new life tries to open the port of the one before.
+/// Interval between attempts to bind the port of the previous incarnation.
 const REBIND_INTERVAL: Duration = Duration::from_millis(2);
-/// The span over which arrivals at a cold server are counted.
+/// Window over which requests to a cold server are counted.
 const SECOND: Duration = Duration::from_secs(1);
-/// How long a heartbeat waits for its answer.
+/// Timeout of a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Says where a server is and what it is for.
+/// Addresses and service of a server.
 #[derive(Clone)]
 pub struct ServerPlan {
     pub id: String,
     pub service: String,
     pub keyed: bool,
-    /// Where it listens.
     pub listen: SocketAddr,
-    /// The address that it tells, which leads to where it listens.
+    /// Address reported in heartbeats, which leads to `listen`.
     pub advertised: SocketAddr,
-    /// Where its heartbeats go.
+    /// Destination of its heartbeats.
     pub control: SocketAddr,
 }
 
-/// Is a server and what it has seen.
+/// A stand-in server and what it has recorded.
 #[derive(Clone)]
 pub struct StandInServer {
     plan: ServerPlan,
@@ -74,40 +73,39 @@
     started_ms: u64,
     sequence: u64,
     holds: Vec<HeldRange>,
-    /// What it holds by calls, where keys come that way.
+    /// Keys held by calls, if the settings grant keys that way.
     pub(super) call_grants: CallGrants,
-    /// What it was told to release, until nothing works on it any more.
+    /// Ranges to be released once no requests are running on them.
     releasing: Vec<HeldRange>,
-    until: Option<Instant>,
-    /// Keys that are being worked on.
+    held_until: Option<Instant>,
+    /// Keys of running requests.
     pub(super) working: Vec<u16>,
-    freed: Vec<(u16, u16, String)>,
+    released: Vec<(u16, u16, String)>,
     callers: Vec<String>,
     last_run: Option<Instant>,
-    /// When requests came that it did not send away as meant for another.
+    /// Arrival times of the requests that were not refused as misdirected.
     arrivals: Vec<Instant>,
-    /// Until when this life is cold.
+    /// When this incarnation ceases to be cold.
     cold_until: Option<Instant>,
     draining: bool,
     acknowledged: Option<Instant>,
     service_time: Duration,
     drop_responses: bool,
-    answer_bytes: usize,
+    response_bytes: usize,
     echo: bool,
     pub(super) dead: bool,
 }
 
-/// Is a heartbeat that is about to be sent.
+/// A heartbeat ready to be sent.
 struct PendingHeartbeat {
     incarnation: String,
     url: String,
     body: Value,
-    /// What it says was released; said again until it is acknowledged.
-    freed: Vec<(u16, u16, String)>,
+    /// Ranges reported as released; reported again until acknowledged.
+    released: Vec<(u16, u16, String)>,
 }
 
-/// Returns the body with which a server answers a request when it echoes: what only this request's
-/// answer can be, of a length that differs.
+/// Returns the body of a response in echo mode: unique to the request and of a varying length.
 pub fn echo_of(id: &str) -> String {
     let seed = id.bytes().fold(7_usize, |sum, byte| {
         sum.wrapping_mul(31).wrapping_add(usize::from(byte))
@@ -133,7 +131,7 @@
         server
     }
 
-    /// Listens, and closes all connections of the life before.
+    /// Listens, and closes all connections of the previous incarnation.
     fn open_port(&self) {
         let server = self.clone();
         let serving = tokio::spawn(async move { server.serve().await });
@@ -147,14 +145,14 @@
 
     async fn serve(self) {
         let listener = loop {
-            // The port of the life before is free a moment after that one has ended.
+            // The previous incarnation's port becomes free shortly after its task is aborted.
             match TcpListener::bind(self.plan.listen).await {
                 Ok(listener) => break listener,
                 Err(_) => tokio::time::sleep(REBIND_INTERVAL).await,
             }
         };
-        let router = Router::new().fallback(any(answer)).with_state(self);
-        // Dropped with this incarnation, it ends every connection.
+        let router = Router::new().fallback(any(handle_request)).with_state(self);
+        // Dropped with this incarnation, which closes every connection.
         let mut connections = JoinSet::new();
         while let Ok((stream, _)) = listener.accept().await {
             let service = TowerToHyperService::new(router.clone());
@@ -163,8 +161,8 @@
         }
     }
 
-    /// Ends this incarnation: it holds nothing, its port is closed, and it sends no heartbeats until it is born
-    /// again.
+    /// Ends this incarnation: drops its keys, closes its port, and sends no heartbeats until
+    /// restarted.
     pub fn crash(&self) {
         self.replace_port(None);
         let incarnation = self.incarnation();
@@ -172,7 +170,7 @@
         self.truth.drop_all(&incarnation);
     }
 
-    /// Starts the next incarnation, under the same id or another; it knows nothing of the one before.
+    /// Starts the next incarnation under this id, with no state of the previous one.
     pub fn restart_as(&self, id: &str) {
         let incarnation = self.incarnation();
         self.truth.drop_all(&incarnation);
@@ -187,7 +185,7 @@
         let kept = ServerState {
             echo: state.echo,
             service_time: state.service_time,
-            answer_bytes: state.answer_bytes,
+            response_bytes: state.response_bytes,
             ..ServerState::default()
         };
         *state = ServerState {
@@ -197,43 +195,43 @@
         };
     }
 
-    /// Returns the id of this life and its birth.
+    /// Returns the id and start time of this incarnation.
     pub fn incarnation(&self) -> String {
         let state = self.lock();
         format!("{}@{}", state.id, state.started_ms)
     }
 
-    /// Says that it will leave.
+    /// Reports in heartbeats that it is draining.
     pub fn drain(&self) {
         self.lock().draining = true;
     }
 
-    /// Breaks the connection after it has run a request.
+    /// Sets whether the connection breaks after each executed request.
     pub fn drop_responses(&self, lose: bool) {
         self.lock().drop_responses = lose;
     }
 
-    /// Makes every request take this long.
+    /// Sets the service time of every request.
     pub fn set_service_time(&self, service_time: Duration) {
         self.lock().service_time = service_time;
     }
 
-    /// Makes every answer this long.
+    /// Sets the length of every response.
     pub fn set_response_bytes(&self, bytes: usize) {
-        self.lock().answer_bytes = bytes;
+        self.lock().response_bytes = bytes;
     }
 
-    /// Answers with what only the request's own answer can be.
+    /// Makes every response unique to its request.
     pub fn set_echo(&self) {
         self.lock().echo = true;
     }
 
-    /// Returns how often a request has run here.
+    /// Returns how often this incarnation started executing a request.
     pub fn runs(&self, request: &str) -> u32 {
         self.count(request, false)
     }
 
-    /// Returns how often a request's work was done here, and not given up before.
+    /// Returns how often this incarnation finished a request that was not cancelled.
     pub fn finished(&self, request: &str) -> u32 {
         self.count(request, true)
     }
@@ -245,12 +243,12 @@
         u32::try_from(own.filter(|run| run.finished || !finished).count()).unwrap()
     }
 
-    /// Makes this life cold for a while.
+    /// Marks this incarnation as cold for a while.
     pub fn set_cold(&self, time: Duration) {
         self.lock().cold_until = Some(Instant::now() + time);
     }
 
-    /// Returns how many requests came to this life within its busiest second.
+    /// Returns the largest number of requests received within one second.
     pub fn busiest_second(&self) -> usize {
         let state = self.lock();
         let all = &state.arrivals;
@@ -261,12 +259,12 @@
         all.iter().map(within).max().unwrap_or_default()
     }
 
-    /// Returns the services that were named as callers.
+    /// Returns the calling services named in requests.
     pub fn callers(&self) -> Vec<String> {
         self.lock().callers.clone()
     }
 
-    /// Says what becomes of the calls that grant it keys.
+    /// Sets the fault in the handling of calls that grant keys.
     pub fn set_calls(&self, fault: CallFault) {
         self.lock().call_grants.fault = fault;
     }
@@ -283,12 +281,12 @@
         let held = state
             .holds
             .iter()
-            .chain(called.iter().map(|called| &called.row));
+            .chain(called.iter().map(|granted| &granted.row));
         held.map(|(first, last, _)| u32::from(*last) - u32::from(*first) + 1)
             .sum()
     }
 
-    /// Returns how long after the acknowledgement of its leaving the last request came.
+    /// Returns how long after the acknowledgement of its drain the last request arrived.
     pub fn ran_after_drain(&self) -> Duration {
         let state = self.lock();
         match (state.last_run, state.acknowledged) {
@@ -297,7 +295,7 @@
         }
     }
 
-    /// Tells whether its leaving was acknowledged.
+    /// Returns whether its drain was acknowledged.
     pub fn is_drain_acknowledged(&self) -> bool {
         self.lock().acknowledged.is_some()
     }
@@ -319,7 +317,7 @@
         }
     }
 
-    /// Sends one heartbeat; tells whether something is still to be released.
+    /// Sends one heartbeat; returns whether keys are still to be released.
     async fn send_heartbeat(&self, http: &reqwest::Client) -> bool {
         let Some(heartbeat) = self.next_heartbeat() else {
             return false;
@@ -329,13 +327,13 @@
             .put(heartbeat.url)
             .json(&heartbeat.body)
             .timeout(HEARTBEAT_TIMEOUT);
-        let answer = call.send().await;
-        if let Ok(answer) = answer
-            && answer.status().is_success()
-            && let Ok(answer) = answer.json::<Value>().await
+        let reply = call.send().await;
+        if let Ok(reply) = reply
+            && reply.status().is_success()
+            && let Ok(reply) = reply.json::<Value>().await
             && self.incarnation() == heartbeat.incarnation
         {
-            self.handle_reply(&heartbeat.incarnation, sent, &heartbeat.freed, &answer);
+            self.handle_reply(&heartbeat.incarnation, sent, &heartbeat.released, &reply);
         }
         !self.lock().releasing.is_empty()
     }
@@ -346,8 +344,11 @@
         if state.dead {
             return None;
         }
-        if state.until.is_some_and(|until| Instant::now() >= until) {
-            // What has run out is not reported as released.
+        if state
+            .held_until
+            .is_some_and(|until| Instant::now() >= until)
+        {
+            // Ranges whose hold has expired are not reported as released.
             state.holds.clear();
             state.releasing.clear();
         }
@@ -359,14 +360,14 @@
             "service": self.plan.service, "address": self.plan.advertised, "zone": "zone",
             "version": "v1", "slots": 10, "state": if state.draining { "draining" } else { "ready" },
             "cold_left": format!("{}ms", state.cold_left().as_millis()), "sequence": state.sequence, "born": state.started_ms, "holds": holds,
-            "freed": state.freed,
+            "freed": state.released,
         });
         let url = format!("http://{}/instances/{}", self.plan.control, state.id);
         Some(PendingHeartbeat {
             incarnation,
             url,
             body,
-            freed: state.freed.clone(),
+            released: state.released.clone(),
         })
     }
 
@@ -374,20 +375,20 @@
         &self,
         incarnation: &str,
         sent: Instant,
-        told: &[(u16, u16, String)],
-        answer: &Value,
+        reported: &[(u16, u16, String)],
+        reply: &Value,
     ) {
         let mut state = self.lock();
-        state.freed.retain(|freed| !told.contains(freed));
+        state.released.retain(|freed| !reported.contains(freed));
         if state.draining && state.acknowledged.is_none() {
             state.acknowledged = Some(Instant::now());
         }
         let granted =
-            serde_json::from_value::<Vec<(u16, u16, u64, String)>>(answer["holds"].clone());
+            serde_json::from_value::<Vec<(u16, u16, u64, String)>>(reply["holds"].clone());
         let Ok(granted) = granted else {
             return;
         };
-        let time = answer["hold_time"].as_str().unwrap();
+        let time = reply["hold_time"].as_str().unwrap();
         let time = time.strip_suffix("ms").unwrap().parse().unwrap();
         let until = sent + Duration::from_millis(time);
         if until <= Instant::now() {
@@ -402,7 +403,7 @@
         let released = held.iter().flat_map(|row| subtract_ranges(*row, &next));
         state.releasing = released.collect();
         state.holds.clone_from(&next);
-        state.until = Some(until);
+        state.held_until = Some(until);
         state.finish_releases();
         let mut all = next;
         all.extend(&state.releasing);
@@ -410,11 +411,11 @@
         self.truth.hold(incarnation, &all);
     }
 
-    /// Sends the last call of a server that leaves.
+    /// Sends the final call of a server that shuts down.
     pub async fn deregister(&self) {
         let url = format!("http://{}/instances/{}", self.plan.control, self.lock().id);
         let http = reqwest::Client::builder().no_proxy().build().unwrap();
-        // Nobody may be there to hear it.
+        // The node may not be running.
         http.delete(url)
             .timeout(HEARTBEAT_TIMEOUT)
             .send()
@@ -423,13 +424,13 @@
     }
 }
 
-/// Returns the parts of a row that none of the others covers.
+/// Returns the parts of a range that none of the others covers.
 pub(super) fn subtract_ranges(row: HeldRange, others: &[HeldRange]) -> Vec<HeldRange> {
     let (_, last, fence) = row;
     let mut others: Vec<&HeldRange> = others.iter().collect();
     others.sort_unstable();
     let mut parts = Vec::new();
-    // Beyond the last key there is none, so keys are counted in a wider type.
+    // A wider type, because the key after the last one does not fit into u16.
     let mut next = u32::from(row.0);
     for (from, to, _) in others {
         if u32::from(*to) < next || *from > last {
@@ -452,7 +453,7 @@
         until.saturating_duration_since(Instant::now())
     }
 
-    /// Releases what nothing works on any more.
+    /// Releases ranges on which no requests are running.
     fn finish_releases(&mut self) {
         let working = self.working.clone();
         let (busy, done): (Vec<HeldRange>, Vec<HeldRange>) = self
@@ -465,7 +466,7 @@
             let word = format!("word-{sequence}-{first}");
             (first, last, word)
         });
-        self.freed.extend(freed);
+        self.released.extend(freed);
     }
 
     fn holds(&self, key: u16) -> bool {
@@ -473,12 +474,12 @@
             return true;
         }
         let mut held = self.holds.iter();
-        let valid = self.until.is_some_and(|until| Instant::now() < until);
+        let valid = self.held_until.is_some_and(|until| Instant::now() < until);
         valid && held.any(|(first, last, _)| (*first..=*last).contains(&key))
     }
 }
 
-/// Marks a key as worked on for as long as this lives.
+/// Marks a key as in use until dropped.
 struct Working {
     state: Arc<Mutex<ServerState>>,
     key: Option<u16>,
@@ -487,13 +488,13 @@
 impl Drop for Working {
     fn drop(&mut self) {
         if let (Some(key), Ok(mut state)) = (self.key, self.state.lock()) {
-            let place = state.working.iter().position(|working| *working == key);
-            place.map(|place| state.working.swap_remove(place));
+            let index = state.working.iter().position(|working| *working == key);
+            index.map(|index| state.working.swap_remove(index));
         }
     }
 }
 
-async fn answer(
+async fn handle_request(
     State(server): State<StandInServer>,
     uri: Uri,
     headers: HeaderMap,
@@ -530,7 +531,7 @@
             state: Arc::clone(&server.state),
             key,
         };
-        let (long, echo) = (state.answer_bytes, state.echo);
+        let (long, echo) = (state.response_bytes, state.echo);
         (
             state.service_time,
             state.drop_responses,
@@ -543,7 +544,7 @@
     if echo {
         check_echoed(&server.truth, &id, &text("x-caller-service"), &body);
     }
-    // A caller that hangs up ends this here.
+    // If the caller disconnects, the request is cancelled here.
     tokio::time::sleep(service_time).await;
     server.truth.finish(&id, &incarnation);
     let stamp = format!("stamp-of-{incarnation}");
@@ -557,15 +558,15 @@
         (long, _) => "x".repeat(long),
     };
     if lose {
-        // A body that breaks off before its announced end.
+        // A body that ends before its announced length.
         let broken = futures::stream::iter([Ok("half"), Err(std::io::Error::other("cut"))]);
         return (stamped, Body::from_stream(broken)).into_response();
     }
     (stamped, text).into_response()
 }
 
-/// Checks what a client of the soak sent: its id ends in the service of the host to which it was sent,
-/// and its body, if it has one, is its id.
+/// Checks a request of the soak's clients: its id ends in the service of the host that received it,
+/// and its body, if not empty, is its id.
 fn check_echoed(truth: &Truth, id: &str, caller: &str, body: &[u8]) {
     if !id.ends_with(&format!("-{caller}")) {
         truth.record_violation(format!("{id} came with {caller} as its origin"));
--- a/crates/rack/tests/system/support/stand_in_store.rs
+++ b/crates/rack/tests/system/support/stand_in_store.rs
@@ -27,59 +27,58 @@
 use serde_json::json;
 use tokio::net::TcpListener;
 
-/// How many of the newest records one page holds.
+/// Maximum number of the newest records in one page.
 const PAGE_RECORDS: usize = 2;
-/// How long a lost answer stays unavailable: longer than any caller waits.
+/// Delay of a lost reply: longer than any caller's timeout.
 const LOST_REPLY_DELAY: Duration = Duration::from_secs(10);
 
-/// Keeps the records of its topics, and lets callers in through doors that can be closed one by one.
+/// Stores the records of topics and serves them on endpoints that can fail separately.
 #[derive(Clone, Default)]
 pub struct StandInStore {
     state: Arc<Mutex<Topics>>,
 }
 
-/// Is one way in, the same store at an address of its own, which may turn its callers away while the
-/// store serves others.
+/// An address of the store, which may fail while the store's other addresses serve.
 #[derive(Clone, Default)]
 pub struct StoreEndpoint {
     fault: Arc<Mutex<Option<EndpointFault>>>,
-    /// Counts the times at which it fell silent: what was asked before such a time is not answered.
+    /// Number of times the endpoint became silent; requests received before are not answered.
     silences: Arc<AtomicU32>,
 }
 
-/// Says how callers are turned away.
+/// Fault of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointFault {
-    /// Answered 503.
+    /// Replies with 503.
     Busy,
-    /// Answered 429.
+    /// Replies with 429.
     TooMany,
-    /// Never answered.
+    /// Never replies.
     Silent,
 }
 
 #[derive(Default)]
 struct Topics {
     topics: HashMap<String, Vec<(String, Vec<u8>)>>,
-    /// How many of the oldest records of each topic have expired; the newest of each key stay.
+    /// Number of the oldest records of each topic that have expired; the newest of each key stays.
     expired: HashMap<String, usize>,
     faults: StoreFaults,
-    /// What operators write once the first page of the newest records has been read.
+    /// Record to write once the first page of the newest records has been read.
     between_pages: Option<(String, String)>,
-    /// Counts appends, so that every so-many-th can be mistreated.
+    /// Counts appends; faults affect every second one.
     appends: u32,
 }
 
-/// Is what the store does wrong.
+/// Faults of the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreFaults {
     /// Refuses every call.
     pub unavailable: bool,
-    /// Answers that much later.
+    /// Delays every append and every read of the newest records by this much.
     pub slow: Duration,
-    /// Does every second append and does not say so.
+    /// Applies every second append without confirming it.
     pub drops_replies: bool,
-    /// Does every second append that much later, and does not say so.
+    /// Applies every second append after this delay without confirming it.
     pub late: Option<Duration>,
 }
 
@@ -93,7 +92,7 @@
         (store, address)
     }
 
-    /// Opens a way in on a free port of `ip`.
+    /// Opens an endpoint on a free port of `ip`.
     pub async fn open_endpoint(&self, ip: &str) -> (StoreEndpoint, SocketAddr) {
         let door = StoreEndpoint::default();
         let router = Router::new()
@@ -108,7 +107,7 @@
         (door, address)
     }
 
-    /// Drops all records but the newest of each key: what is read from before the end is gone.
+    /// Expires all records but the newest of each key, so that reads from earlier offsets fail.
     pub fn expire(&self) {
         let mut state = self.state.lock().unwrap();
         let ends = state.topics.iter();
@@ -118,21 +117,21 @@
         state.expired = ends;
     }
 
-    /// Writes a record as an operator does.
+    /// Writes a record as an operator.
     pub fn write(&self, key: &str, value: &str) {
         let mut state = self.state.lock().unwrap();
         let records = state.topics.entry("keyed.op".to_owned()).or_default();
         records.push((key.to_owned(), value.as_bytes().to_vec()));
     }
 
-    /// Writes a record as an operator does, as soon as somebody has read the first of several pages of the
-    /// newest records.
+    /// Writes a record as an operator once the first of several pages of the newest records has
+    /// been read.
     pub fn write_between_pages(&self, key: &str, value: &str) {
         let record = (key.to_owned(), value.to_owned());
         self.state.lock().unwrap().between_pages = Some(record);
     }
 
-    /// Refuses every call from now on, or none.
+    /// Sets whether every call is refused.
     pub fn set_unavailable(&self, unavailable: bool) {
         self.set_faults(StoreFaults {
             unavailable,
@@ -140,7 +139,7 @@
         });
     }
 
-    /// Does this wrong from now on.
+    /// Replaces the faults.
     pub fn set_faults(&self, faults: StoreFaults) {
         self.state.lock().unwrap().faults = faults;
     }
@@ -179,7 +178,7 @@
 }
 
 impl StoreEndpoint {
-    /// Turns callers away from now on, or none.
+    /// Sets or clears the fault of this endpoint.
     pub fn set_fault(&self, how: Option<EndpointFault>) {
         if how == Some(EndpointFault::Silent) {
             self.silences.fetch_add(1, Ordering::Relaxed);
@@ -196,16 +195,16 @@
         Some(EndpointFault::TooMany) => StatusCode::TOO_MANY_REQUESTS.into_response(),
         Some(EndpointFault::Silent) => lost_reply().await,
         None => {
-            let answer = next.run(request).await;
+            let reply = next.run(request).await;
             match silences == door.silences.load(Ordering::Relaxed) {
-                true => answer,
+                true => reply,
                 false => lost_reply().await,
             }
         }
     }
 }
 
-/// Answers when nobody waits any more.
+/// Replies after all callers have timed out.
 async fn lost_reply() -> Response {
     tokio::time::sleep(LOST_REPLY_DELAY).await;
     StatusCode::SERVICE_UNAVAILABLE.into_response()
@@ -281,11 +280,11 @@
     if let Some(late) = faults.late.filter(|_| odd) {
         tokio::time::sleep(late).await;
     }
-    let answer = store.append(&fields, &body);
+    let reply = store.append(&fields, &body);
     if odd && (faults.drops_replies || faults.late.is_some()) {
         tokio::time::sleep(LOST_REPLY_DELAY).await;
     }
-    answer
+    reply
 }
 
 impl StandInStore {
--- a/crates/rack/tests/system/support/texts.rs
+++ b/crates/rack/tests/system/support/texts.rs
@@ -1,8 +1,8 @@
-//! What operators and the platform write.
+//! Configuration and settings files of the tests.
 
 use std::net::SocketAddr;
 
-/// Writes the operators' configuration.
+/// Returns the operators' configuration.
 pub fn config(version: u64, timeout_ms: u64) -> String {
     let route = |name: &str, kind: &str| {
         serde_json::json!({"resource_type": "routes", "metadata": {"name": format!("route-{name}")}, "spec": {
@@ -32,10 +32,10 @@
     serde_json::json!({"version": format!("r{version}"), "resources": resources}).to_string()
 }
 
-/// Writes a host's settings file; `link` is the bandwidth of its link in Mbit/s.
+/// Returns the text of a host's settings file; `link` is its bandwidth in Mbit/s.
 pub fn settings(
     ip: &str,
-    place: usize,
+    index: usize,
     service: &str,
     store: SocketAddr,
     ports: [SocketAddr; 4],
@@ -46,7 +46,7 @@
         r#"
 grants = "heartbeat"
 [self]
-node_name = "node-{place}"
+node_name = "node-{index}"
 ip = "{ip}"
 zone = "zone-{}"
 service = "{service}"
@@ -73,6 +73,6 @@
 cold_burst_factor = 1.5
 cold_slack = 5
 "#,
-        place % 3
+        index % 3
     )
 }
--- a/crates/rack/tests/system/support/truth.rs
+++ b/crates/rack/tests/system/support/truth.rs
@@ -1,16 +1,16 @@
-//! What really happened, as the backend servers saw it.
+//! Record of what the backend servers did, and of the guarantees that were violated.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// How many keys there are.
+/// Size of the key space.
 const KEYS: usize = 65_536;
 
-/// Is a range of keys that a server holds, with its fencing token.
+/// A range of keys that a server holds: first key, last key and fencing token.
 pub type HeldRange = (u16, u16, u64);
 
-/// Collects what all servers see, and what must never be.
+/// Collects what all servers did and each violated guarantee.
 #[derive(Default)]
 pub struct Truth {
     state: Mutex<State>,
@@ -20,12 +20,12 @@
 struct State {
     runs: HashMap<String, Vec<Run>>,
     holders: HashMap<String, Vec<(HeldRange, Instant)>>,
-    /// For all keys the highest token, and who had it.
+    /// The highest token of each key and its holder, by ranges that cover the key space.
     highest_tokens: Vec<TokenRange>,
     violations: Vec<String>,
 }
 
-/// Is a range of keys with the highest token that any server had them with.
+/// A range of keys with the highest token that any server has held it with.
 #[derive(Clone, Debug)]
 struct TokenRange {
     first: u16,
@@ -34,7 +34,7 @@
     holder: String,
 }
 
-/// Is one run of a request.
+/// One execution of a request.
 #[derive(Clone, Debug)]
 pub struct Run {
     pub server: String,
@@ -43,17 +43,15 @@
 }
 
 impl Truth {
-    /// Notes that a promise was broken.
     pub fn record_violation(&self, what: String) {
         self.state.lock().unwrap().violations.push(what);
     }
 
-    /// Returns the promises that were broken.
     pub fn violations(&self) -> Vec<String> {
         self.state.lock().unwrap().violations.clone()
     }
 
-    /// Notes that a server begins a request.
+    /// Records that a server starts executing a request.
     pub fn begin(&self, id: &str, server: &str) {
         let run = Run {
             server: server.to_owned(),
@@ -64,7 +62,7 @@
         state.runs.entry(id.to_owned()).or_default().push(run);
     }
 
-    /// Notes that a server has done the work of a request that it began.
+    /// Records that a server has finished a request that it started.
     pub fn finish(&self, id: &str, server: &str) {
         let mut state = self.state.lock().unwrap();
         let runs = state.runs.entry(id.to_owned()).or_default();
@@ -74,21 +72,22 @@
         }
     }
 
-    /// Returns the runs of a request.
+    /// Returns the executions of a request.
     pub fn runs(&self, id: &str) -> Vec<Run> {
         let state = self.state.lock().unwrap();
         state.runs.get(id).cloned().unwrap_or_default()
     }
 
-    /// Returns how many requests have run, and how many runs there were beyond the first of each.
+    /// Returns how many requests were executed, and the number of executions beyond the first of
+    /// each.
     pub fn repeats(&self) -> (usize, usize) {
         let state = self.state.lock().unwrap();
         let runs: usize = state.runs.values().map(Vec::len).sum();
         (state.runs.len(), runs - state.runs.len())
     }
 
-    /// Notes what a life of a server holds until a moment; no other may hold the same key then, and a
-    /// key comes to it with a higher token than any other had.
+    /// Records what an incarnation of a server holds, and until when. Records a violation if
+    /// another holds one of the keys, or had it with a token that is not lower.
     pub fn hold(&self, incarnation: &str, rows: &[(HeldRange, Instant)]) {
         let now = Instant::now();
         let mut state = self.state.lock().unwrap();
@@ -123,12 +122,12 @@
         holders.insert(incarnation.to_owned(), rows.to_vec());
     }
 
-    /// Notes that a life of a server holds nothing any more.
+    /// Records that an incarnation of a server no longer holds any keys.
     pub fn drop_all(&self, incarnation: &str) {
         self.state.lock().unwrap().holders.remove(incarnation);
     }
 
-    /// Returns how many keys some server holds now.
+    /// Returns how many keys are held by any server now.
     pub fn held(&self) -> usize {
         let now = Instant::now();
         let state = self.state.lock().unwrap();
@@ -141,8 +140,9 @@
     }
 }
 
-/// Notes that a life of a server has a range with its token; returns the first part of it that another had
-/// with one as high. It goes by ranges: key by key a stand-in would take as long for a grant as a call may.
+/// Records a range and its token for an incarnation of a server; returns the first part that
+/// another had with a token at least as high. Works on ranges, because a stand-in that went through
+/// single keys would exceed the time limit of a grant call.
 fn raise_token(
     highest_tokens: &mut Vec<TokenRange>,
     incarnation: &str,
@@ -184,7 +184,7 @@
             parts.push(part(to + 1, known.last));
         }
     }
-    // Neighbours that are alike are one, or renewals would make ever more parts.
+    // Merges equal neighbours; otherwise each renewal would add ranges.
     parts.dedup_by(|next, part| {
         let alike = part.highest == next.highest && part.holder == next.holder;
         if alike {
--- a/crates/rack/tests/system/support/world.rs
+++ b/crates/rack/tests/system/support/world.rs
@@ -1,4 +1,4 @@
-//! Hosts on loopback, each with a server and the real program.
+//! Hosts on loopback, each with a backend server and the router's process.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -27,37 +27,37 @@
 use super::texts::settings;
 use super::truth::Truth;
 
-/// The first three bytes of the loopback addresses of this test process's hosts; two tests run at
-/// the same time, also in different processes, and must not share ports.
+/// Third byte of this test's loopback subnet. Tests run concurrently, also in different processes,
+/// and must not share ports.
 static NEXT_SUBNET: AtomicU64 = AtomicU64::new(1);
 
-/// Keys that are asked for to know whether all are served.
+/// Sample of keys that is requested to check whether all keys are served.
 const SAMPLE_KEYS: [u16; 8] = [0, 9_000, 18_000, 27_000, 36_000, 45_000, 54_000, 65_535];
 
-/// A link that holds nothing up, in Mbit/s.
+/// Bandwidth that delays nothing, in Mbit/s.
 const FAST_LINK_MBPS: f64 = 1_000.0;
 
-/// Is a platform with its hosts.
+/// A platform with its hosts.
 pub struct World {
     pub store: StandInStore,
     pub hosts: Vec<Host>,
     pub truth: Arc<Truth>,
     folder: TempDir,
     http: reqwest::Client,
-    /// The first three bytes of the hosts' addresses.
+    /// First three bytes of the hosts' addresses.
     subnet: String,
-    /// The bandwidth of the hosts' links, in Mbit/s.
+    /// Bandwidth of the hosts' links, in Mbit/s.
     link: f64,
-    /// How servers are granted keys, in the words of the settings.
+    /// Value of the setting `grants`: how servers are granted keys.
     grants: &'static str,
-    /// How many hosts there ever were; their names and addresses are not used again.
+    /// Number of hosts ever added; their names and addresses are not reused.
     host_count: usize,
 }
 
-/// Is one host.
+/// A host with its backend server and the router's process.
 pub struct Host {
     pub server: StandInServer,
-    /// This host's way to the store.
+    /// The store's endpoint for this host.
     pub store: StoreEndpoint,
     pub(super) clients: SocketAddr,
     readiness: SocketAddr,
@@ -66,7 +66,7 @@
     lines: Lines,
 }
 
-/// Is what a client response.
+/// What a client received.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClientResponse {
     pub status: Option<StatusCode>,
@@ -75,7 +75,7 @@
 }
 
 impl World {
-    /// Starts hosts, each for one service; services named `keyed` are divided by key.
+    /// Starts hosts, each for one service; keys divide the service named `keyed`.
     pub async fn start(services: &[&str]) -> Self {
         Self::start_with(services, FAST_LINK_MBPS, "heartbeat").await
     }
@@ -85,7 +85,7 @@
         Self::start_with(services, FAST_LINK_MBPS, "request").await
     }
 
-    /// Starts hosts whose links are this wide, in Mbit/s.
+    /// Starts hosts with links of this bandwidth, in Mbit/s.
     pub async fn start_with_link(services: &[&str], link: f64) -> Self {
         Self::start_with(services, link, "heartbeat").await
     }
@@ -113,13 +113,13 @@
         for service in services {
             world.add_host(service).await;
         }
-        for place in 0..services.len() {
-            world.start_node(place);
+        for index in 0..services.len() {
+            world.start_node(index);
         }
         world
     }
 
-    /// Adds a host with its server; its node is still to be started. Returns its place.
+    /// Adds a host with its server, without starting its node, and returns its index.
     pub async fn add_host(&mut self, service: &str) -> usize {
         let host = self.host(self.host_count, service).await;
         self.host_count += 1;
@@ -127,16 +127,16 @@
         self.hosts.len() - 1
     }
 
-    async fn host(&self, place: usize, service: &str) -> Host {
-        let ip = format!("{}.{}", self.subnet, place + 1);
+    async fn host(&self, index: usize, service: &str) -> Host {
+        let ip = format!("{}.{}", self.subnet, index + 1);
         let (store_endpoint, store) = self.store.open_endpoint(&ip).await;
-        // Every host has an address of its own, so all use the same ports, below those that the
-        // kernel gives to outgoing connections.
+        // Every host has an address of its own, so all use the same ports, which lie below those
+        // that the kernel assigns to outgoing connections.
         let port = |port| SocketAddr::new(ip.parse().unwrap(), port);
         let [clients, readiness, control, server] = [8_304, 8_302, 8_306, 8_301].map(port);
         let text = settings(
             &ip,
-            place,
+            index,
             service,
             store,
             [clients, readiness, control, server],
@@ -146,10 +146,10 @@
             "grants = \"heartbeat\"",
             &format!("grants = {:?}", self.grants),
         );
-        let path = self.folder.path().join(format!("settings-{place}.toml"));
+        let path = self.folder.path().join(format!("settings-{index}.toml"));
         fs::write(&path, text).unwrap();
         let plan = ServerPlan {
-            id: format!("server-{place}"),
+            id: format!("server-{index}"),
             service: service.to_owned(),
             keyed: service == "keyed",
             listen: server,
@@ -172,19 +172,20 @@
         self.store.write("config", &config(version, 1_000));
     }
 
-    /// Writes a new configuration as soon as a node has read the first of several pages of what is newest.
+    /// Writes a new configuration as soon as a node has read the first of several pages of the
+    /// newest records.
     pub fn write_config_between_pages(&self, version: u64) {
         self.store
             .write_between_pages("config", &config(version, 1_000));
     }
 
-    /// Writes a new configuration whose routes wait for twenty seconds.
+    /// Writes a new configuration whose routes have a timeout of twenty seconds.
     pub fn write_long_timeout_config(&self, version: u64) {
         self.store.write("config", &config(version, 20_000));
     }
 
-    fn build_request(&self, place: usize, id: &str, path: &str, timeout_ms: u32) -> RequestBuilder {
-        let url = format!("http://{}{path}", self.hosts[place].clients);
+    fn build_request(&self, index: usize, id: &str, path: &str, timeout_ms: u32) -> RequestBuilder {
+        let url = format!("http://{}{path}", self.hosts[index].clients);
         self.http
             .get(url)
             .header("host", "shop.example")
@@ -192,93 +193,93 @@
             .header("x-deadline-ms", timeout_ms.to_string())
     }
 
-    /// Sends a request whose client waits for less time than any attempt needs.
+    /// Sends a request with a timeout that is shorter than any attempt.
     pub async fn request_with_short_timeout(
         &self,
-        place: usize,
+        index: usize,
         id: &str,
         path: &str,
     ) -> Option<StatusCode> {
-        let request = self.build_request(place, id, path, 30);
-        let answer = request.send().await;
-        answer.ok().map(|answer| answer.status())
+        let request = self.build_request(index, id, path, 30);
+        let response = request.send().await;
+        response.ok().map(|response| response.status())
     }
 
-    /// Sends a request whose client waits for twenty seconds; nothing if the connection ends
-    /// without an answer.
+    /// Sends a request with a timeout of twenty seconds; returns `None` if the connection ends
+    /// without a response.
     pub async fn request_with_long_timeout(
         &self,
-        place: usize,
+        index: usize,
         id: &str,
         path: &str,
     ) -> Option<StatusCode> {
-        let request = self.build_request(place, id, path, 20_000);
-        let answer = request.send().await;
-        answer.ok().map(|answer| answer.status())
+        let request = self.build_request(index, id, path, 20_000);
+        let response = request.send().await;
+        response.ok().map(|response| response.status())
     }
 
-    /// Sends a request whose client waits for twenty seconds, and returns how long its answer is;
-    /// nothing unless it came whole.
+    /// Sends a request with a timeout of twenty seconds and returns the length of the response, or
+    /// `None` unless it arrived complete.
     pub async fn fetch_with_long_timeout(
         &self,
-        place: usize,
+        index: usize,
         id: &str,
         path: &str,
     ) -> Option<usize> {
-        let request = self.build_request(place, id, path, 20_000);
-        let answer = request.send().await.ok()?;
-        answer.bytes().await.ok().map(|body| body.len())
+        let request = self.build_request(index, id, path, 20_000);
+        let response = request.send().await.ok()?;
+        response.bytes().await.ok().map(|body| body.len())
     }
 
-    /// Replaces a text in the settings file of a host, and says nothing of it to the program.
-    pub fn change_settings(&self, place: usize, from: &str, to: &str) {
-        let path = &self.hosts[place].settings;
+    /// Replaces a text in a host's settings file without notifying the process.
+    pub fn change_settings(&self, index: usize, from: &str, to: &str) {
+        let path = &self.hosts[index].settings;
         let text = fs::read_to_string(path).unwrap();
         assert!(text.contains(from));
         fs::write(path, text.replace(from, to)).unwrap();
     }
 
-    /// Tells the program on a host that its settings file has changed.
-    pub fn send_sighup(&self, place: usize) {
-        self.hosts[place].process().signal(Signal::HUP);
+    /// Sends SIGHUP, which reloads the settings file.
+    pub fn send_sighup(&self, index: usize) {
+        self.hosts[index].process().signal(Signal::HUP);
     }
 
-    /// Returns the place of the node that leads, by its log.
+    /// Returns the index of the node that logged the highest epoch as leader.
     pub fn leader(&self) -> usize {
-        let newest = |place: &usize| {
-            let lines = self.lines(*place, "event", "leads");
+        let newest = |index: &usize| {
+            let lines = self.lines(*index, "event", "leads");
             lines.iter().filter_map(|line| line["epoch"].as_u64()).max()
         };
         (0..self.hosts.len()).max_by_key(newest).unwrap()
     }
 
-    /// Starts the program on a host.
-    pub fn start_node(&mut self, place: usize) {
-        let host = &mut self.hosts[place];
+    /// Starts the router on a host.
+    pub fn start_node(&mut self, index: usize) {
+        let host = &mut self.hosts[index];
         host.process = Some(NodeProcess::spawn(&host.settings, &[], &host.lines));
     }
 
-    /// Starts the program on a host with a reader of its output that never reads.
-    pub fn start_node_unread(&mut self, place: usize) {
-        let host = &mut self.hosts[place];
+    /// Starts the router on a host with an output pipe that is never read.
+    pub fn start_node_unread(&mut self, index: usize) {
+        let host = &mut self.hosts[index];
         host.process = Some(NodeProcess::spawn_unread(&host.settings, &[]));
     }
 
-    /// Kills the program on a host.
-    pub fn kill_node(&mut self, place: usize) {
-        self.hosts[place].process = None;
+    /// Kills the router on a host.
+    pub fn kill_node(&mut self, index: usize) {
+        self.hosts[index].process = None;
     }
 
-    /// Tells the program on a host to leave.
-    pub fn terminate_node(&self, place: usize) {
-        self.hosts[place].process().signal(Signal::TERM);
+    /// Sends SIGTERM to the router on a host.
+    pub fn terminate_node(&self, index: usize) {
+        self.hosts[index].process().signal(Signal::TERM);
     }
 
-    /// Waits until the program on a host has ended by itself.
-    pub async fn wait_for_exit(&mut self, place: usize, timeout: Duration) -> bool {
+    /// Waits until the router on a host exits by itself; returns whether it did in time.
+    pub async fn wait_for_exit(&mut self, index: usize, timeout: Duration) -> bool {
         let until = Instant::now() + timeout;
         while Instant::now() < until {
-            if self.hosts[place].process.as_mut().unwrap().has_ended() {
+            if self.hosts[index].process.as_mut().unwrap().has_ended() {
                 return true;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -286,9 +287,9 @@
         false
     }
 
-    /// Returns the lines that the program on a host has logged, with a field of this value.
-    pub fn lines(&self, place: usize, field: &str, value: &str) -> Vec<Value> {
-        let lines = self.hosts[place].lines.lock().unwrap();
+    /// Returns the lines logged on a host whose field has this value.
+    pub fn lines(&self, index: usize, field: &str, value: &str) -> Vec<Value> {
+        let lines = self.hosts[index].lines.lock().unwrap();
         lines
             .iter()
             .filter(|line| line[field] == value)
@@ -296,46 +297,47 @@
             .collect()
     }
 
-    /// Tells whether a host says that it is ready.
-    pub async fn is_ready(&self, place: usize) -> bool {
-        let url = format!("http://{}/readiness", self.hosts[place].readiness);
+    /// Returns whether a host reports that it is ready.
+    pub async fn is_ready(&self, index: usize) -> bool {
+        let url = format!("http://{}/readiness", self.hosts[index].readiness);
         self.http
             .get(url)
             .send()
             .await
-            .is_ok_and(|answer| answer.status().is_success())
+            .is_ok_and(|response| response.status().is_success())
     }
 
-    /// Sends a request to a host; the path's first part names its route.
+    /// Sends a request to a host; the first path segment selects the route.
     pub async fn request(
         &self,
-        place: usize,
+        index: usize,
         id: &str,
         path: &str,
         key: Option<u16>,
     ) -> ClientResponse {
-        let request = self.build_request(place, id, path, 1_500);
+        let request = self.build_request(index, id, path, 1_500);
         let mut request = request.header("x-caller-service", "a-lie");
         if let Some(key) = key {
             request = request.header("x-shard-key", key.to_string());
         }
-        let Ok(answer) = request.send().await else {
+        let Ok(response) = request.send().await else {
             return ClientResponse {
                 status: None,
                 body: String::new(),
                 retry_after: None,
             };
         };
-        let retry_after = answer.headers().get("retry-after");
+        let retry_after = response.headers().get("retry-after");
         ClientResponse {
-            status: Some(answer.status()),
+            status: Some(response.status()),
             retry_after: retry_after.map(|value| value.to_str().unwrap().to_owned()),
-            body: answer.text().await.unwrap_or_default(),
+            body: response.text().await.unwrap_or_default(),
         }
     }
 
-    /// Returns after which time every key of a sample is served at every host, to a fifth of a second:
-    /// checks follow one another sooner than a request without an owner is refused.
+    /// Returns when every key of the sample was served at every host, to a fifth of a second. The
+    /// checks start at shorter intervals than the time after which a request without an owner is
+    /// refused.
     pub async fn time_until_served(&self, timeout: Duration) -> Duration {
         let started = Instant::now();
         let mut checks = futures::stream::FuturesUnordered::new();
@@ -358,10 +360,10 @@
 
     async fn all_served(&self) -> bool {
         let places = 0..self.hosts.len();
-        let asks = places.flat_map(|place| SAMPLE_KEYS.map(|key| (place, key)));
-        let asks = asks.map(|(place, key)| async move {
+        let asks = places.flat_map(|index| SAMPLE_KEYS.map(|key| (index, key)));
+        let asks = asks.map(|(index, key)| async move {
             let id = format!("look-{key}");
-            self.request(place, &id, "/keyed/1", Some(key)).await.status
+            self.request(index, &id, "/keyed/1", Some(key)).await.status
         });
         let statuses = futures::future::join_all(asks).await;
         statuses
@@ -369,15 +371,15 @@
             .all(|status| *status == Some(StatusCode::OK))
     }
 
-    /// Waits until every key of a sample is served at every host.
+    /// Waits until every key of the sample is served at every host.
     pub async fn wait_until_served(&self, timeout: Duration) -> Duration {
         let started = Instant::now();
         loop {
             let mut served = 0;
-            for place in 0..self.hosts.len() {
+            for index in 0..self.hosts.len() {
                 for key in SAMPLE_KEYS {
                     let response = self
-                        .request(place, &format!("settle-{key}"), "/keyed/1", Some(key))
+                        .request(index, &format!("settle-{key}"), "/keyed/1", Some(key))
                         .await;
                     served += usize::from(response.status == Some(StatusCode::OK));
                 }
@@ -396,7 +398,7 @@
 }
 
 impl Drop for World {
-    /// Keeps what the programs have logged if the test has failed, or `QUETZALRACK_TEST_LOGS` is set.
+    /// Keeps the logs if the test has failed or `QUETZALRACK_TEST_LOGS` is set.
     fn drop(&mut self) {
         if !std::thread::panicking() && std::env::var_os("QUETZALRACK_TEST_LOGS").is_none() {
             return;
@@ -407,22 +409,21 @@
 }
 
 impl Host {
-    /// Starts the program on a host that is no part of its world yet.
+    /// Starts the router on a host that has not been added to the world yet.
     pub fn spawn(&self) -> NodeProcess {
         NodeProcess::spawn(&self.settings, &[], &self.lines)
     }
 
-    /// Tells whether the program has ended by itself.
+    /// Returns whether the router has exited by itself.
     pub fn has_ended(&mut self) -> bool {
         self.process.as_mut().unwrap().has_ended()
     }
 
-    /// Returns where other nodes send requests.
+    /// Returns the address for requests from other nodes.
     pub fn hops(&self) -> SocketAddr {
         SocketAddr::new(self.clients.ip(), 7_620)
     }
 
-    /// Returns the program's process.
     pub fn process(&self) -> &NodeProcess {
         self.process.as_ref().unwrap()
     }
