--- a/crates/rack/tests/soak/clients.rs
+++ b/crates/rack/tests/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that go on whatever happens, and check what they get.
+//! Clients that send requests throughout the faults and check the responses.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,27 +18,27 @@
 use crate::support::Truth;
 use crate::support::echo_of;
 
-/// How long a client waits.
+/// Timeout of a request.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How much longer an answer may take until it counts as missing; the machine is busy.
+/// How long after its timeout a response counts as missing, since the machine may be busy.
 const RESPONSE_GRACE: Duration = Duration::from_millis(1_500);
-/// After this time without an answer a request has surely been read by the process.
+/// A request that is unanswered for this long has certainly been read by the process.
 const REQUEST_READ_TIME: Duration = Duration::from_millis(60);
-/// The pause between two requests of one client.
+/// Pause between two requests of one client.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Is a host as clients know it.
+/// A host as its clients see it.
 #[derive(Clone)]
 pub struct HostEndpoint {
     pub service: String,
     pub address: SocketAddr,
-    /// When something other than an orderly end last happened to the host or to its connections.
+    /// When a fault other than a graceful shutdown last affected the host or its connections.
     pub disturbed: Arc<Mutex<Instant>>,
-    /// Whether the host is gone for good.
+    /// Whether the host was removed permanently.
     pub lost: Arc<AtomicBool>,
 }
 
-/// Says what may be repeated.
+/// Route of a request; only requests of `Once` must not run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     Keyed,
@@ -46,33 +46,32 @@
     Once,
 }
 
-/// Is what came of a request.
 #[derive(Clone, Debug)]
 struct Outcome {
     kind: Kind,
     status: Option<u16>,
 }
 
-/// Is a request without an answer, with times on the clock of the programs' lines.
+/// A request without a response, with times on the clock of the log lines.
 #[derive(Clone, Debug)]
 struct UnansweredRequest {
     id: String,
-    place: usize,
+    index: usize,
     sent: SystemTime,
-    /// What is to be said of it.
+    /// Message for the violation.
     what: String,
 }
 
-/// Is a time in which a host had no process.
+/// Period in which a host had no process.
 pub type Downtime = (SystemTime, SystemTime);
 
-/// Is a crowd of clients.
+/// A group of clients.
 pub struct Clients {
     endpoints: Vec<HostEndpoint>,
     truth: Arc<Truth>,
     seed: u64,
     next: AtomicU64,
-    over: AtomicBool,
+    stopped: AtomicBool,
     outcomes: Mutex<HashMap<String, Outcome>>,
     unanswered: Mutex<Vec<UnansweredRequest>>,
 }
@@ -84,39 +83,39 @@
             truth,
             seed,
             next: AtomicU64::new(0),
-            over: AtomicBool::new(false),
+            stopped: AtomicBool::new(false),
             outcomes: Mutex::default(),
             unanswered: Mutex::default(),
         })
     }
 
-    /// Sends requests until told to end, to one host after the other on connections that stay open.
+    /// Sends requests until stopped, to random hosts on connections that stay open.
     pub async fn run(self: Arc<Self>, number: u64) {
         let mut random = SmallRng::seed_from_u64(self.seed << 8 ^ number);
         let http = reqwest::Client::builder().no_proxy().build().unwrap();
-        while !self.over.load(Ordering::Relaxed) {
-            let place = random.random_range(0..self.endpoints.len());
+        while !self.stopped.load(Ordering::Relaxed) {
+            let index = random.random_range(0..self.endpoints.len());
             let kind = [Kind::Keyed, Kind::Plain, Kind::Once][random.random_range(0..3)];
-            self.request(&http, place, kind, random.random()).await;
+            self.request(&http, index, kind, random.random()).await;
             tokio::time::sleep(REQUEST_INTERVAL).await;
         }
     }
 
-    /// Ends the requests.
+    /// Stops sending requests.
     pub fn end(&self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Tells whether a keyed and a plain request are served at every host that is still there.
+    /// Returns whether keyed and plain requests are served at every remaining host.
     pub async fn all_served(&self, keys: &[u16]) -> bool {
         let http = reqwest::Client::builder().no_proxy().build().unwrap();
-        let here = |place: &usize| !self.endpoints[*place].lost.load(Ordering::Relaxed);
-        for place in (0..self.endpoints.len()).filter(here) {
+        let present = |index: &usize| !self.endpoints[*index].lost.load(Ordering::Relaxed);
+        for index in (0..self.endpoints.len()).filter(present) {
             let asks = keys
                 .iter()
-                .map(|key| self.request(&http, place, Kind::Keyed, *key));
+                .map(|key| self.request(&http, index, Kind::Keyed, *key));
             let keyed = futures::future::join_all(asks).await;
-            let plain = self.request(&http, place, Kind::Plain, 0).await;
+            let plain = self.request(&http, index, Kind::Plain, 0).await;
             if keyed
                 .into_iter()
                 .chain([plain])
@@ -128,7 +127,7 @@
         true
     }
 
-    /// Returns how many requests were answered with success, and how many there were.
+    /// Returns the number of successful requests and of all requests.
     pub fn served(&self) -> (usize, usize) {
         let outcomes = self.outcomes.lock().unwrap();
         let served = outcomes
@@ -140,11 +139,11 @@
     async fn request(
         &self,
         http: &reqwest::Client,
-        place: usize,
+        index: usize,
         kind: Kind,
         key: u16,
     ) -> Option<u16> {
-        let endpoint = &self.endpoints[place];
+        let endpoint = &self.endpoints[index];
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let id = format!("{}-{number}-{}", self.seed, endpoint.service);
         let path = match kind {
@@ -158,17 +157,17 @@
             Kind::Keyed => http.get(url).header("x-shard-key", key),
             Kind::Plain => http.get(url),
         };
-        let patience = CLIENT_TIMEOUT.as_millis().to_string();
+        let timeout = CLIENT_TIMEOUT.as_millis().to_string();
         let request = request
             .header("host", "shop.example")
             .header("x-request-id", &id)
-            .header("x-deadline-ms", patience)
+            .header("x-deadline-ms", timeout)
             .timeout(CLIENT_TIMEOUT + RESPONSE_GRACE);
         let sent = Instant::now();
         let status = match request.send().await {
-            Ok(answer) => self.check_response(&id, answer).await,
+            Ok(response) => self.check_response(&id, response).await,
             Err(error) => {
-                self.record_unanswered(&id, place, sent, &error);
+                self.record_unanswered(&id, index, sent, &error);
                 None
             }
         };
@@ -177,12 +176,12 @@
         status
     }
 
-    async fn check_response(&self, id: &str, answer: reqwest::Response) -> Option<u16> {
-        let status = answer.status().as_u16();
-        let stamp = answer.headers().get("x-server-stamp").cloned();
-        let named = answer.headers().get("x-request-id").cloned();
-        // A body that breaks off is no answer, and looks like none.
-        let body = answer.text().await.ok()?;
+    async fn check_response(&self, id: &str, response: reqwest::Response) -> Option<u16> {
+        let status = response.status().as_u16();
+        let stamp = response.headers().get("x-server-stamp").cloned();
+        let named = response.headers().get("x-request-id").cloned();
+        // A truncated body counts as no response.
+        let body = response.text().await.ok()?;
         if status == 200 {
             let stamp = stamp.and_then(|stamp| stamp.to_str().ok().map(str::to_owned));
             let runs = self.truth.runs(id);
@@ -201,43 +200,44 @@
         Some(status)
     }
 
-    /// An orderly end of a process is no reason for a client to get no answer.
-    fn record_unanswered(&self, id: &str, place: usize, sent: Instant, error: &reqwest::Error) {
-        let endpoint = &self.endpoints[place];
+    /// Records a missing response unless a fault explains it. A graceful shutdown is not such a
+    /// fault.
+    fn record_unanswered(&self, id: &str, index: usize, sent: Instant, error: &reqwest::Error) {
+        let endpoint = &self.endpoints[index];
         let calm_since = *endpoint.disturbed.lock().unwrap() + Duration::from_secs(4);
         let after = sent.elapsed();
-        // Nobody is there to answer; a busy machine takes a while to say so.
+        // A removed host cannot respond, and a busy machine reports it late.
         if endpoint.lost.load(Ordering::Relaxed) {
             return;
         }
-        // Sooner it may have crossed the end of the process, or met its port without one.
+        // An earlier failure may have crossed the exit of the process or reached its closed port.
         if after > REQUEST_READ_TIME && sent > calm_since {
             self.unanswered.lock().unwrap().push(UnansweredRequest {
                 id: id.to_owned(),
-                place,
+                index,
                 sent: SystemTime::now() - after,
                 what: format!("{id} got no answer after {after:?}: {error:?}"),
             });
         }
     }
 
-    /// Checks that each request without an answer was sent while its host had no process.
+    /// Checks that each request without a response was sent while its host had no process.
     pub fn check_unanswered_requests<A>(&self, downtimes: A)
     where
         A: Fn(usize) -> Vec<Downtime>,
     {
         for request in self.unanswered.lock().unwrap().iter() {
-            let downtimes = downtimes(request.place);
+            let downtimes = downtimes(request.index);
             let met = |(from, to): &Downtime| request.sent >= *from && request.sent <= *to;
             if !downtimes.iter().any(met) {
-                let UnansweredRequest { id, place, .. } = request;
-                println!("{id} was sent to host {place} at {:?}", request.sent);
+                let UnansweredRequest { id, index, .. } = request;
+                println!("{id} was sent to host {index} at {:?}", request.sent);
                 self.truth.record_violation(request.what.clone());
             }
         }
     }
 
-    /// Checks what must hold of all requests together, once nothing runs any more.
+    /// Checks the guarantees over all requests once none is running any more.
     pub fn check_all(&self) {
         for (id, outcome) in self.outcomes.lock().unwrap().iter() {
             let runs = self.truth.runs(id);
--- a/crates/rack/tests/soak/fleet.rs
+++ b/crates/rack/tests/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! Hosts whose every connection goes through a proxy.
+//! Hosts with a proxy on every connection.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -35,22 +35,20 @@
 use crate::support::config;
 use crate::support::settings;
 
-/// How many clients there are.
 const CLIENT_COUNT: u64 = 24;
-/// The work of a request.
+/// Service time of a request.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
-/// How long a fleet may take to start, and to serve everything again after the last fault: founding
-/// a leadership anew when the recorded majority is gone takes 20 s at most.
+/// Time limit for serving everything after the start and after the last fault: establishing a new
+/// leadership when the recorded majority is gone takes 20 s at most.
 const SERVED_TIMEOUT: Duration = Duration::from_secs(25);
-/// How long nothing more may reach a server that has left or whose zone is emptied.
+/// Time after which no request may reach a server whose drain was acknowledged.
 const DRAIN_TIME: Duration = Duration::from_millis(2_500);
-/// How long a process may take to end that is told to leave: the grace time of its settings, and a
-/// moment for the busy machine.
+/// Time limit for a process to exit after SIGTERM: the grace time of its settings, and a margin for
+/// the busy machine.
 const EXIT_TIMEOUT: Duration = Duration::from_millis(7_500);
-/// Keys that are asked for to know whether all are served.
+/// Sample of keys that is requested to check whether all keys are served.
 const SAMPLE_KEYS: [u16; 8] = [0, 9_000, 18_000, 27_000, 36_000, 45_000, 54_000, 65_535];
 
-/// Is one host.
 pub(super) struct Host {
     server: StandInServer,
     settings: PathBuf,
@@ -63,7 +61,7 @@
     lost: Arc<AtomicBool>,
 }
 
-/// Is a fleet under test.
+/// A fleet under test.
 pub struct Fleet {
     pub(super) seed: u64,
     store: StandInStore,
@@ -75,23 +73,23 @@
     _folder: TempDir,
 }
 
-/// Is something that is to be undone or looked at later.
+/// A step that ends a fault or follows it up.
 enum Recovery {
-    Start(usize),
-    Continue(usize),
-    /// The process that is to end, and since when it was told.
+    StartNode(usize),
+    Resume(usize),
+    /// Index, process id and when SIGTERM was sent.
     StartOnceEnded(usize, u32, Instant),
-    Reborn(usize),
-    Replace(usize, String),
-    Answers(usize),
-    Fast(usize),
-    Heal(usize, Link),
-    StoreHeals,
-    Return(usize),
+    RestartServer(usize),
+    ReplaceServer(usize, String),
+    DeliverResponses(usize),
+    ResetSpeed(usize),
+    ClearLinkFault(usize, Link),
+    ClearStoreFaults,
+    EndEvacuation(usize),
 }
 
 impl Fleet {
-    /// Starts a fleet and waits until everything is served.
+    /// Starts a fleet.
     pub async fn start(seed: u64, hosts: usize) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let net = format!("127.{}.{}", 1 + std::process::id() % 250, 100 + seed % 100);
@@ -107,21 +105,21 @@
             incarnations: 0,
             _folder: folder,
         };
-        for place in 0..hosts {
-            let ip = format!("{net}.{}", place + 1);
-            fleet.add_host(&ip, place, store_address).await;
+        for index in 0..hosts {
+            let ip = format!("{net}.{}", index + 1);
+            fleet.add_host(&ip, index, store_address).await;
         }
-        for place in 0..hosts {
-            fleet.start_node(place);
+        for index in 0..hosts {
+            fleet.start_node(index);
         }
         fleet
     }
 
-    async fn add_host(&mut self, ip: &str, place: usize, store: SocketAddr) {
+    async fn add_host(&mut self, ip: &str, index: usize, store: SocketAddr) {
         let port = |port| SocketAddr::new(ip.parse().unwrap(), port);
         let [clients, readiness, control, peers] = [8_304, 8_302, 8_306, 7_640].map(port);
         let (server, advertised) = (port(8_301), port(7_620));
-        let seed = self.seed << 8 ^ place as u64;
+        let seed = self.seed << 8 ^ index as u64;
         let bind = async |target| StreamProxy::bind(target, seed).await.unwrap();
         let streams = vec![
             (Link::Clients, bind(clients).await),
@@ -141,23 +139,23 @@
                 .1
                 .address()
         };
-        let service = if place.is_multiple_of(2) {
+        let service = if index.is_multiple_of(2) {
             "keyed"
         } else {
             "plain"
         };
         let text = settings(
             ip,
-            place,
+            index,
             service,
             at(Link::Store),
             [clients, readiness, control, at(Link::Server)],
             1_000.0,
         );
-        let path = self._folder.path().join(format!("settings-{place}.toml"));
+        let path = self._folder.path().join(format!("settings-{index}.toml"));
         fs::write(&path, text).unwrap();
         let plan = ServerPlan {
-            id: format!("server-{place}"),
+            id: format!("server-{index}"),
             service: service.to_owned(),
             keyed: service == "keyed",
             listen: server,
@@ -190,7 +188,7 @@
         });
     }
 
-    /// Plays the script of the seed and returns the promises that were broken.
+    /// Runs the script of the seed and returns the violated guarantees.
     pub async fn run(&mut self) -> Vec<String> {
         let clients = Clients::new(self.seed, self.endpoints.clone(), Arc::clone(&self.truth));
         self.wait_until_served(&clients, "after the start").await;
@@ -205,10 +203,10 @@
         for client in running {
             client.await.unwrap();
         }
-        // What was given up may still be worked on for a moment.
+        // Cancelled requests may still be running for a moment.
         tokio::time::sleep(SERVICE_TIME * 10).await;
         clients.check_all();
-        clients.check_unanswered_requests(|place| self.downtimes(place));
+        clients.check_unanswered_requests(|index| self.downtimes(index));
         let (served, all) = clients.served();
         println!(
             "seed {}: {served} of {all} served, settled after {took:?}",
@@ -223,26 +221,26 @@
 
     async fn run_script(&mut self) {
         let began = Instant::now();
-        let mut later: Vec<(Instant, Recovery)> = Vec::new();
+        let mut recoveries: Vec<(Instant, Recovery)> = Vec::new();
         for (at, fault) in script::draw(self.seed, self.hosts.len()) {
-            self.wait_until(began + at, &mut later).await;
+            self.wait_until(began + at, &mut recoveries).await;
             println!("seed {} {at:?} {fault:?}", self.seed);
             let undo = self.start_fault(fault);
-            later.extend(undo.map(|(time, undo)| (Instant::now() + time, undo)));
+            recoveries.extend(undo.map(|(time, undo)| (Instant::now() + time, undo)));
         }
-        while let Some(last) = later.iter().map(|(at, _)| *at).max() {
-            self.wait_until(last, &mut later).await;
+        while let Some(last) = recoveries.iter().map(|(at, _)| *at).max() {
+            self.wait_until(last, &mut recoveries).await;
         }
     }
 
-    async fn wait_until(&mut self, end: Instant, later: &mut Vec<(Instant, Recovery)>) {
+    async fn wait_until(&mut self, end: Instant, recoveries: &mut Vec<(Instant, Recovery)>) {
         loop {
             let now = Instant::now();
-            let due = later.iter().position(|(at, _)| *at <= now);
+            let due = recoveries.iter().position(|(at, _)| *at <= now);
             if let Some(due) = due {
-                let (_, undo) = later.swap_remove(due);
+                let (_, undo) = recoveries.swap_remove(due);
                 let again = self.undo(undo).await;
-                later.extend(again.map(|(time, undo)| (now + time, undo)));
+                recoveries.extend(again.map(|(time, undo)| (now + time, undo)));
                 continue;
             }
             if now >= end {
@@ -254,67 +252,70 @@
 
     fn start_fault(&mut self, fault: Fault) -> Option<(Duration, Recovery)> {
         match fault {
-            Fault::Kill(place, time) => {
-                self.kill(place);
-                Some((time, Recovery::Start(place)))
+            Fault::Kill(index, time) => {
+                self.kill(index);
+                Some((time, Recovery::StartNode(index)))
             }
             Fault::KillMost(time) => {
-                for place in 1..self.hosts.len() {
-                    self.kill(place);
+                for index in 1..self.hosts.len() {
+                    self.kill(index);
                 }
-                Some((time, Recovery::Start(usize::MAX)))
+                Some((time, Recovery::StartNode(usize::MAX)))
             }
-            Fault::Pause(place, time) => {
-                self.record_disturbance(place);
-                self.signal(place, Signal::STOP);
-                Some((time, Recovery::Continue(place)))
+            Fault::Pause(index, time) => {
+                self.record_disturbance(index);
+                self.signal(index, Signal::STOP);
+                Some((time, Recovery::Resume(index)))
             }
-            Fault::Leave(place) => {
-                // A process that stands still hears nothing.
-                self.signal(place, Signal::CONT);
-                self.signal(place, Signal::TERM);
-                let id = self.hosts[place].process.as_ref()?.id();
-                let ended = Recovery::StartOnceEnded(place, id, Instant::now());
+            Fault::Leave(index) => {
+                // A paused process does not handle signals.
+                self.signal(index, Signal::CONT);
+                self.signal(index, Signal::TERM);
+                let id = self.hosts[index].process.as_ref()?.id();
+                let ended = Recovery::StartOnceEnded(index, id, Instant::now());
                 Some((Duration::from_millis(50), ended))
             }
-            Fault::Lose(place) => {
-                self.remove_host(place);
+            Fault::Lose(index) => {
+                self.remove_host(index);
                 None
             }
-            Fault::Hup(place) => {
-                self.signal(place, Signal::HUP);
+            Fault::Hup(index) => {
+                self.signal(index, Signal::HUP);
                 None
             }
-            Fault::Crash(place, time) => {
-                self.set_stream(place, Link::Server, refusing());
-                self.stream(place, Link::Server).cut();
-                self.hosts[place].server.crash();
-                Some((time, Recovery::Reborn(place)))
+            Fault::Crash(index, time) => {
+                self.set_stream(index, Link::Server, refusing());
+                self.stream(index, Link::Server).cut();
+                self.hosts[index].server.crash();
+                Some((time, Recovery::RestartServer(index)))
             }
-            Fault::Drain(place) => {
-                let server = &self.hosts[place].server;
+            Fault::Drain(index) => {
+                let server = &self.hosts[index].server;
                 server.drain();
-                Some((DRAIN_TIME, Recovery::Replace(place, server.incarnation())))
+                Some((
+                    DRAIN_TIME,
+                    Recovery::ReplaceServer(index, server.incarnation()),
+                ))
             }
-            Fault::LoseAnswers(place, time) => {
-                self.hosts[place].server.drop_responses(true);
-                Some((time, Recovery::Answers(place)))
+            Fault::LoseAnswers(index, time) => {
+                self.hosts[index].server.drop_responses(true);
+                Some((time, Recovery::DeliverResponses(index)))
             }
-            Fault::Slow(place, time) => {
-                self.hosts[place].server.set_service_time(SERVICE_TIME * 30);
-                Some((time, Recovery::Fast(place)))
+            Fault::Slow(index, time) => {
+                self.hosts[index].server.set_service_time(SERVICE_TIME * 30);
+                Some((time, Recovery::ResetSpeed(index)))
             }
-            Fault::Link(place, link, fault, time) => {
-                self.set_link_fault(place, link, fault);
-                Some((time, Recovery::Heal(place, link)))
+            Fault::Link(index, link, fault, time) => {
+                self.set_link_fault(index, link, fault);
+                Some((time, Recovery::ClearLinkFault(index, link)))
             }
             Fault::Store(fault, time) => {
                 self.store.set_faults(store_faults(fault));
-                Some((time, Recovery::StoreHeals))
+                Some((time, Recovery::ClearStoreFaults))
             }
             Fault::Evacuate(zone, time) => {
                 self.store.write(&format!("evacuate/zone-{zone}"), "{}");
-                Some((time, Recovery::Return(zone)))
+                Some((time, Recovery::EndEvacuation(zone)))
             }
             Fault::Config => {
                 self.version += 1;
@@ -326,66 +327,68 @@
 
     async fn undo(&mut self, undo: Recovery) -> Option<(Duration, Recovery)> {
         match undo {
-            Recovery::Start(usize::MAX) => {
-                for place in 1..self.hosts.len() {
-                    self.start_node(place);
+            Recovery::StartNode(usize::MAX) => {
+                for index in 1..self.hosts.len() {
+                    self.start_node(index);
                 }
             }
-            Recovery::Start(place) => self.start_node(place),
-            Recovery::Continue(place) => {
-                self.signal(place, Signal::CONT);
-                self.record_disturbance(place);
+            Recovery::StartNode(index) => self.start_node(index),
+            Recovery::Resume(index) => {
+                self.signal(index, Signal::CONT);
+                self.record_disturbance(index);
             }
-            Recovery::StartOnceEnded(place, id, since) => {
-                return self.restart_once_ended(place, id, since);
+            Recovery::StartOnceEnded(index, id, since) => {
+                return self.restart_once_ended(index, id, since);
             }
-            Recovery::Reborn(place) if self.hosts[place].lost.load(Ordering::Relaxed) => {}
-            Recovery::Reborn(place) => {
-                self.hosts[place]
+            Recovery::RestartServer(index) if self.hosts[index].lost.load(Ordering::Relaxed) => {}
+            Recovery::RestartServer(index) => {
+                self.hosts[index]
                     .server
-                    .restart_as(&format!("server-{place}"));
-                self.set_stream(place, Link::Server, StreamFaults::default());
+                    .restart_as(&format!("server-{index}"));
+                self.set_stream(index, Link::Server, StreamFaults::default());
             }
-            Recovery::Replace(place, incarnation) => self.replace(place, &incarnation).await,
-            Recovery::Answers(place) => self.hosts[place].server.drop_responses(false),
-            Recovery::Fast(place) => self.hosts[place].server.set_service_time(SERVICE_TIME),
-            Recovery::Heal(place, link) => self.clear_link_fault(place, link),
-            Recovery::StoreHeals => self.store.set_faults(StoreFaults::default()),
-            Recovery::Return(zone) => self.store.write(&format!("evacuate/zone-{zone}"), ""),
+            Recovery::ReplaceServer(index, incarnation) => {
+                self.replace_server(index, &incarnation).await
+            }
+            Recovery::DeliverResponses(index) => self.hosts[index].server.drop_responses(false),
+            Recovery::ResetSpeed(index) => self.hosts[index].server.set_service_time(SERVICE_TIME),
+            Recovery::ClearLinkFault(index, link) => self.clear_link_fault(index, link),
+            Recovery::ClearStoreFaults => self.store.set_faults(StoreFaults::default()),
+            Recovery::EndEvacuation(zone) => self.store.write(&format!("evacuate/zone-{zone}"), ""),
         }
         None
     }
 
-    /// Starts the process of a host again once the one that was told to leave has ended.
+    /// Restarts the process of a host once the one that received SIGTERM has exited.
     fn restart_once_ended(
         &mut self,
-        place: usize,
+        index: usize,
         id: u32,
         since: Instant,
     ) -> Option<(Duration, Recovery)> {
-        let process = self.hosts[place].process.as_mut();
+        let process = self.hosts[index].process.as_mut();
         let process = process.filter(|process| process.id() == id)?;
         if process.has_ended() {
-            self.hosts[place].process = None;
-            self.start_node(place);
+            self.hosts[index].process = None;
+            self.start_node(index);
             return None;
         }
-        let disturbed = *self.hosts[place].disturbed.lock().unwrap();
+        let disturbed = *self.hosts[index].disturbed.lock().unwrap();
         if since.elapsed() > EXIT_TIMEOUT && disturbed < since {
-            let what = format!("the process of node-{place} has not ended");
+            let what = format!("the process of node-{index} has not ended");
             self.truth.record_violation(what);
-            self.kill(place);
-            self.start_node(place);
+            self.kill(index);
+            self.start_node(index);
             return None;
         }
-        let look = Recovery::StartOnceEnded(place, id, since);
-        Some((Duration::from_millis(50), look))
+        let recheck = Recovery::StartOnceEnded(index, id, since);
+        Some((Duration::from_millis(50), recheck))
     }
 
-    /// A server that has said that it leaves is gone, and the next one has its address.
-    async fn replace(&mut self, place: usize, incarnation: &str) {
-        let server = self.hosts[place].server.clone();
-        let lost = self.hosts[place].lost.load(Ordering::Relaxed);
+    /// Deregisters a draining server and starts its successor at the same address.
+    async fn replace_server(&mut self, index: usize, incarnation: &str) {
+        let server = self.hosts[index].server.clone();
+        let lost = self.hosts[index].lost.load(Ordering::Relaxed);
         if server.incarnation() != incarnation || lost {
             return;
         }
@@ -397,14 +400,14 @@
         }
         server.deregister().await;
         self.incarnations += 1;
-        server.restart_as(&format!("server-{place}-{}", self.incarnations));
+        server.restart_as(&format!("server-{index}-{}", self.incarnations));
     }
 
-    /// Takes a host away for good, unless too few would be left that can serve everything.
-    fn remove_host(&mut self, place: usize) {
-        let here = |host: &&Host| !host.lost.load(Ordering::Relaxed);
-        let left = self.hosts.iter().filter(here).count();
-        let service = &self.endpoints[place].service;
+    /// Removes a host permanently, unless too few would remain to serve everything.
+    fn remove_host(&mut self, index: usize) {
+        let present = |host: &&Host| !host.lost.load(Ordering::Relaxed);
+        let left = self.hosts.iter().filter(present).count();
+        let service = &self.endpoints[index].service;
         let endpoints = self.endpoints.iter();
         let same = endpoints
             .filter(|endpoint| endpoint.service == *service)
@@ -412,20 +415,20 @@
         if left <= self.hosts.len() * 2 / 3 || same.count() <= 1 {
             return;
         }
-        self.hosts[place].lost.store(true, Ordering::Relaxed);
-        self.kill(place);
-        self.set_stream(place, Link::Server, refusing());
-        self.stream(place, Link::Server).cut();
-        self.hosts[place].server.crash();
+        self.hosts[index].lost.store(true, Ordering::Relaxed);
+        self.kill(index);
+        self.set_stream(index, Link::Server, refusing());
+        self.stream(index, Link::Server).cut();
+        self.hosts[index].server.crash();
     }
 
-    fn kill(&mut self, place: usize) {
-        self.record_disturbance(place);
-        self.hosts[place].process = None;
+    fn kill(&mut self, index: usize) {
+        self.record_disturbance(index);
+        self.hosts[index].process = None;
     }
 
-    fn start_node(&mut self, place: usize) {
-        let host = &mut self.hosts[place];
+    fn start_node(&mut self, index: usize) {
+        let host = &mut self.hosts[index];
         if host.lost.load(Ordering::Relaxed) {
             return;
         }
@@ -435,52 +438,52 @@
         }
     }
 
-    fn signal(&mut self, place: usize, signal: Signal) {
-        if let Some(process) = self.hosts[place].process.as_mut()
+    fn signal(&mut self, index: usize, signal: Signal) {
+        if let Some(process) = self.hosts[index].process.as_mut()
             && !process.has_ended()
         {
             process.signal(signal);
         }
     }
 
-    fn record_disturbance(&self, place: usize) {
-        *self.hosts[place].disturbed.lock().unwrap() = Instant::now();
+    fn record_disturbance(&self, index: usize) {
+        *self.hosts[index].disturbed.lock().unwrap() = Instant::now();
     }
 
-    fn stream(&self, place: usize, link: Link) -> &StreamProxy {
-        let mut streams = self.hosts[place].streams.iter();
+    fn stream(&self, index: usize, link: Link) -> &StreamProxy {
+        let mut streams = self.hosts[index].streams.iter();
         &streams.find(|(name, _)| *name == link).unwrap().1
     }
 
-    fn set_stream(&self, place: usize, link: Link, faults: StreamFaults) {
-        self.stream(place, link).set_faults(faults);
+    fn set_stream(&self, index: usize, link: Link, faults: StreamFaults) {
+        self.stream(index, link).set_faults(faults);
     }
 
-    fn set_link_fault(&self, place: usize, link: Link, fault: LinkFault) {
+    fn set_link_fault(&self, index: usize, link: Link, fault: LinkFault) {
         if link == Link::Clients {
-            self.record_disturbance(place);
+            self.record_disturbance(index);
         }
         if link == Link::Datagrams {
             let (forward, back) = datagram_faults(fault);
-            self.hosts[place].datagrams.set_faults(forward, back);
+            self.hosts[index].datagrams.set_faults(forward, back);
             return;
         }
         if fault == LinkFault::Reset {
-            self.stream(place, link).cut();
+            self.stream(index, link).cut();
         }
-        self.set_stream(place, link, stream_faults(fault));
+        self.set_stream(index, link, stream_faults(fault));
     }
 
-    fn clear_link_fault(&self, place: usize, link: Link) {
+    fn clear_link_fault(&self, index: usize, link: Link) {
         if link == Link::Clients {
-            self.record_disturbance(place);
+            self.record_disturbance(index);
         }
         match link {
             Link::Datagrams => {
                 let none = DatagramFaults::default();
-                self.hosts[place].datagrams.set_faults(none, none);
+                self.hosts[index].datagrams.set_faults(none, none);
             }
-            link => self.set_stream(place, link, StreamFaults::default()),
+            link => self.set_stream(index, link, StreamFaults::default()),
         }
     }
 
@@ -502,9 +505,9 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        for place in 0..self.hosts.len() {
-            // A stopped process can be killed, but its connections are not told until then.
-            self.hosts[place].process = None;
+        for index in 0..self.hosts.len() {
+            // A paused process can be killed, but its connections stay open until then.
+            self.hosts[index].process = None;
         }
     }
 }
--- a/crates/rack/tests/soak/lines.rs
+++ b/crates/rack/tests/soak/lines.rs
@@ -1,4 +1,4 @@
-//! What the programs of a fleet have logged.
+//! Evaluation of the lines that a fleet has logged.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -10,9 +10,10 @@
 use crate::support::keep_logs;
 
 impl Fleet {
-    /// Returns when nobody listened at a host after an orderly end, by the programs' own lines.
-    pub fn downtimes(&self, place: usize) -> Vec<Downtime> {
-        let lines = self.hosts[place].lines.lock().unwrap();
+    /// Returns the periods between a graceful shutdown and the next start of a host, by its log
+    /// lines.
+    pub fn downtimes(&self, index: usize) -> Vec<Downtime> {
+        let lines = self.hosts[index].lines.lock().unwrap();
         let at = |line: &Value| {
             let seconds = line["at"].as_f64().unwrap();
             SystemTime::UNIX_EPOCH + Duration::from_secs_f64(seconds)
@@ -32,7 +33,7 @@
         downtimes
     }
 
-    /// Writes what the programs have logged where a failed run can be looked at.
+    /// Keeps the logs for the analysis of a failed run.
     pub fn keep_logs(&self) {
         let lines = self.hosts.iter().map(|host| &host.lines);
         keep_logs(&format!("quetzalrack-soak-{}", self.seed), lines);
--- a/crates/rack/tests/soak/main.rs
+++ b/crates/rack/tests/soak/main.rs
@@ -1,9 +1,9 @@
-//! Random faults around the real program, as separate processes, with the promises checked by what
-//! clients and backend servers see.
+//! Random faults around the router, which runs as separate processes. The guarantees are checked by
+//! what clients and backend servers observe.
 //!
-//! `QUETZALRACK_SOAK_SEEDS` asks for more seeds, `QUETZALRACK_SOAK_FIRST` names the first,
-//! `QUETZALRACK_SOAK_JOBS` says how many are played at a time, and `QUETZALRACK_SOAK_HOSTS` sets the
-//! number of hosts.
+//! `QUETZALRACK_SOAK_SEEDS` sets the number of seeds, `QUETZALRACK_SOAK_FIRST` the first of them,
+//! `QUETZALRACK_SOAK_JOBS` how many run concurrently, and `QUETZALRACK_SOAK_HOSTS` the number of
+//! hosts.
 #![allow(clippy::unwrap_used, clippy::panic)]
 
 #[path = "../system/support/mod.rs"]
@@ -22,12 +22,12 @@
 
 use fleet::Fleet;
 
-/// How many seeds a usual run plays, and the first of them.
+/// Number of seeds by default, and the first of them.
 const DEFAULT_SEEDS: u64 = 2;
 const DEFAULT_FIRST: u64 = 1;
-/// How many are played at a time.
+/// How many seeds run concurrently.
 const DEFAULT_JOBS: u64 = 2;
-/// How many hosts there are.
+/// Number of hosts.
 const DEFAULT_HOSTS: usize = 7;
 
 fn setting(name: &str, usual: u64) -> u64 {
@@ -35,7 +35,7 @@
     value.map_or(usual, |value| value.parse().unwrap())
 }
 
-/// Plays one seed; returns what was broken.
+/// Runs one seed; returns the violated guarantees.
 fn run_seed(seed: u64, hosts: usize) -> Vec<String> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
@@ -49,10 +49,11 @@
     broken
 }
 
-/// Hosts and servers are killed, paused, told to leave and started again, connections are delayed,
-/// cut, reset and silenced, the store is unavailable, slow or silent about what it did; series of these
-/// overlap. No caller gets what is not its own, nothing runs twice that may not, "not run" is true, no
-/// key has two holders, and everything is served again soon after the last fault.
+/// Guards against violated guarantees under overlapping series of faults: processes and servers are
+/// killed, paused, shut down and restarted; connections are delayed, cut, reset and silenced; the
+/// store is unavailable, slow or does not confirm appends. No caller receives another's response,
+/// no non-idempotent request runs twice, "not run" is true, no key has two holders, and everything
+/// is served again soon after the last fault.
 #[test]
 fn random_faults() {
     let first = setting("FIRST", DEFAULT_FIRST);
@@ -81,7 +82,7 @@
     assert!(failed.is_empty(), "{failed:#?}");
 }
 
-/// Seeds that once showed a fault, each with its cause.
+/// Seeds that failed in the past, each with its cause.
 #[test]
 fn failed_before() {
     let seeds: [u64; 0] = [];
--- a/crates/rack/tests/soak/script.rs
+++ b/crates/rack/tests/soak/script.rs
@@ -1,4 +1,4 @@
-//! What happens, drawn from a seed.
+//! Faults drawn at random from a seed.
 
 use std::time::Duration;
 
@@ -6,40 +6,40 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Is one thing that happens, to the host at a place where it has one.
+/// A fault; the first `usize` is the index of its host, if it has one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The process is killed and started again a while later.
+    /// The process is killed and restarted after a delay.
     Kill(usize, Duration),
-    /// The process stands still.
+    /// The process is paused.
     Pause(usize, Duration),
-    /// The process is told to leave, and started again when it has ended.
+    /// The process receives SIGTERM and is restarted after it has exited.
     Leave(usize),
-    /// The host and its server are gone for good, without a word.
+    /// The host and its server are removed permanently without a shutdown.
     Lose(usize),
-    /// Most processes are killed at once.
+    /// All processes but the first are killed at once.
     KillMost(Duration),
-    /// The settings file is said to have changed.
+    /// The process receives SIGHUP.
     Hup(usize),
-    /// The server crashes and starts again under its id.
+    /// The server crashes and restarts under the same id.
     Crash(usize, Duration),
-    /// The server says that it leaves; another takes its place.
+    /// The server reports that it is draining, and is replaced.
     Drain(usize),
-    /// The server's answers are lost after it has run requests.
+    /// The server's responses are lost after it has executed the requests.
     LoseAnswers(usize, Duration),
-    /// The server works slowly.
+    /// The server is slow.
     Slow(usize, Duration),
-    /// A link of the host does something wrong.
+    /// A link of the host is faulty.
     Link(usize, Link, LinkFault, Duration),
-    /// The store does something wrong, for all.
+    /// The store is faulty for all hosts.
     Store(StoreFaultKind, Duration),
-    /// An availability zone is emptied and taken back.
+    /// An availability zone is evacuated for a while.
     Evacuate(usize, Duration),
     /// A new configuration is written.
     Config,
 }
 
-/// Names a connection of a host.
+/// A connection of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Link {
     Clients,
@@ -50,7 +50,7 @@
     Datagrams,
 }
 
-/// Says what a link does wrong.
+/// Fault of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkFault {
     Slow,
@@ -61,7 +61,7 @@
     Refuse,
 }
 
-/// Says what the store does wrong.
+/// Fault of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFaultKind {
     Away,
@@ -92,16 +92,16 @@
     StoreFaultKind::LosesAnswers,
     StoreFaultKind::Late,
 ];
-/// How long troubles go on.
+/// Period in which faults start.
 const FAULT_PERIOD: Duration = Duration::from_secs(14);
 
-/// Draws what happens to a fleet, in the order of time from the start of the clients.
+/// Draws the faults of a run, ordered by the time since the clients started.
 pub fn draw(seed: u64, hosts: usize) -> Vec<(Duration, Fault)> {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut script = Vec::new();
     let mut at = Duration::from_millis(random.random_range(200..1_500));
     while at < FAULT_PERIOD {
-        // Now and then the same again and again, on one host after the other.
+        // With a probability of 0.2 the fault repeats on several hosts in turn.
         let series = if random.random_bool(0.2) {
             random.random_range(2..5)
         } else {
@@ -109,10 +109,10 @@
         };
         let first = draw_one(&mut random, hosts);
         for number in 0..series {
-            let place = random.random_range(0..hosts);
+            let index = random.random_range(0..hosts);
             script.push((
                 at + Duration::from_millis(400) * number,
-                first.at_host(place),
+                first.at_host(index),
             ));
         }
         at += Duration::from_millis(random.random_range(100..1_800));
@@ -122,47 +122,47 @@
 }
 
 fn draw_one(random: &mut SmallRng, hosts: usize) -> Fault {
-    let place = random.random_range(0..hosts);
+    let index = random.random_range(0..hosts);
     let short = Duration::from_millis(random.random_range(100..1_500));
     let long = Duration::from_millis(random.random_range(300..5_000));
     match random.random_range(0..21) {
-        0..=2 => Fault::Kill(place, short),
-        3..=4 => Fault::Pause(place, long),
-        5..=6 => Fault::Leave(place),
+        0..=2 => Fault::Kill(index, short),
+        3..=4 => Fault::Pause(index, long),
+        5..=6 => Fault::Leave(index),
         7 => Fault::KillMost(short),
-        8 => Fault::Hup(place),
-        9 => Fault::Crash(place, short),
-        10 => Fault::Drain(place),
-        11 => Fault::LoseAnswers(place, short),
-        12 => Fault::Slow(place, long),
+        8 => Fault::Hup(index),
+        9 => Fault::Crash(index, short),
+        10 => Fault::Drain(index),
+        11 => Fault::LoseAnswers(index, short),
+        12 => Fault::Slow(index, long),
         13..=15 => {
             let link = LINKS[random.random_range(0..LINKS.len())];
             let fault = LINK_FAULTS[random.random_range(0..LINK_FAULTS.len())];
-            Fault::Link(place, link, fault, long)
+            Fault::Link(index, link, fault, long)
         }
         16..=17 => {
             let fault = STORE_FAULTS[random.random_range(0..STORE_FAULTS.len())];
             Fault::Store(fault, long)
         }
-        20 => Fault::Lose(place),
+        20 => Fault::Lose(index),
         18 => Fault::Evacuate(random.random_range(0..3), long),
         _ => Fault::Config,
     }
 }
 
 impl Fault {
-    fn at_host(self, place: usize) -> Self {
+    fn at_host(self, index: usize) -> Self {
         match self {
-            Self::Kill(_, time) => Self::Kill(place, time),
-            Self::Pause(_, time) => Self::Pause(place, time),
-            Self::Leave(_) => Self::Leave(place),
-            Self::Lose(_) => Self::Lose(place),
-            Self::Hup(_) => Self::Hup(place),
-            Self::Crash(_, time) => Self::Crash(place, time),
-            Self::Drain(_) => Self::Drain(place),
-            Self::LoseAnswers(_, time) => Self::LoseAnswers(place, time),
-            Self::Slow(_, time) => Self::Slow(place, time),
-            Self::Link(_, link, fault, time) => Self::Link(place, link, fault, time),
+            Self::Kill(_, time) => Self::Kill(index, time),
+            Self::Pause(_, time) => Self::Pause(index, time),
+            Self::Leave(_) => Self::Leave(index),
+            Self::Lose(_) => Self::Lose(index),
+            Self::Hup(_) => Self::Hup(index),
+            Self::Crash(_, time) => Self::Crash(index, time),
+            Self::Drain(_) => Self::Drain(index),
+            Self::LoseAnswers(_, time) => Self::LoseAnswers(index, time),
+            Self::Slow(_, time) => Self::Slow(index, time),
+            Self::Link(_, link, fault, time) => Self::Link(index, link, fault, time),
             same => same,
         }
     }
