--- a/crates/rack/tests/system/support/call_grants.rs
+++ b/crates/rack/tests/system/support/call_grants.rs
@@ -25,7 +25,7 @@
 /// A granted range and when its hold ends.
 #[derive(Clone, Copy, Debug)]
 pub struct GrantedRange {
-    pub row: HeldRange,
+    pub range: HeldRange,
     pub until: Instant,
 }
 
@@ -40,7 +40,7 @@
 
 /// A received call.
 pub struct Call {
-    pub row: HeldRange,
+    pub range: HeldRange,
     /// End of the hold; `None` for a release.
     pub until: Option<Instant>,
 }
@@ -50,19 +50,19 @@
     pub fn parse(path: &str, body: &[u8]) -> Option<Self> {
         let body: Value = serde_json::from_slice(body).ok()?;
         let key = |name: &str| u16::try_from(body[name].as_u64()?).ok();
-        let row = (
+        let range = (
             key("from")?,
             key("target_version")?,
             body["fence"].as_u64()?,
         );
-        if row.0 > row.1 {
+        if range.0 > range.1 {
             return None;
         }
-        let time = body["hold_time"].as_str();
-        let time = time.and_then(|time| time.strip_suffix("ms")?.parse().ok());
-        let until = time.map(|time| Instant::now() + Duration::from_millis(time));
-        let known = until.is_some() == (path == "/grant");
-        known.then_some(Self { row, until })
+        let hold = body["hold_time"].as_str();
+        let hold = hold.and_then(|time| time.strip_suffix("ms")?.parse().ok());
+        let until = hold.map(|time| Instant::now() + Duration::from_millis(time));
+        let valid = until.is_some() == (path == "/grant");
+        valid.then_some(Self { range, until })
     }
 }
 
@@ -77,51 +77,51 @@
     pub fn holds(&self, key: u16) -> bool {
         let held = self.held();
         held.iter()
-            .any(|granted| (granted.row.0..=granted.row.1).contains(&key))
+            .any(|granted| (granted.range.0..=granted.range.1).contains(&key))
     }
 
     /// Applies a grant unless an overlapping range was seen with a higher token; returns whether it
     /// was accepted.
-    pub fn grant(&mut self, row: HeldRange, until: Instant) -> bool {
-        let overlaps = |other: &HeldRange| other.0 <= row.1 && other.1 >= row.0;
+    pub fn grant(&mut self, range: HeldRange, until: Instant) -> bool {
+        let overlaps = |other: &HeldRange| other.0 <= range.1 && other.1 >= range.0;
         if self
             .seen
             .iter()
-            .any(|seen| overlaps(seen) && seen.2 > row.2)
+            .any(|seen| overlaps(seen) && seen.2 > range.2)
         {
             return false;
         }
-        self.seen.retain(|seen| *seen != row);
-        self.seen.push(row);
-        self.cut(row);
-        self.held.push(GrantedRange { row, until });
+        self.seen.retain(|seen| *seen != range);
+        self.seen.push(range);
+        self.subtract(range);
+        self.held.push(GrantedRange { range, until });
         true
     }
 
     /// Releases keys; requests that are running on them continue.
-    pub fn release(&mut self, row: HeldRange) {
-        self.cut(row);
+    pub fn release(&mut self, range: HeldRange) {
+        self.subtract(range);
         self.released += 1;
     }
 
-    fn cut(&mut self, row: HeldRange) {
+    fn subtract(&mut self, range: HeldRange) {
         let held = std::mem::take(&mut self.held);
         self.held = held
             .into_iter()
             .flat_map(|granted| {
-                let parts = super::stand_in_server::subtract_ranges(granted.row, &[row]);
+                let parts = super::stand_in_server::subtract_ranges(granted.range, &[range]);
                 parts
                     .into_iter()
-                    .map(move |row| GrantedRange { row, ..granted })
+                    .map(move |range| GrantedRange { range, ..granted })
             })
             .collect();
     }
 }
 
 /// Returns the reply to a release.
-fn released(row: HeldRange) -> Response {
-    let word = format!("word-{}-{}", row.0, row.2);
-    (StatusCode::OK, [("x-handover", word.as_str())]).into_response()
+fn release_reply(range: HeldRange) -> Response {
+    let handover = format!("word-{}-{}", range.0, range.2);
+    (StatusCode::OK, [("x-handover", handover.as_str())]).into_response()
 }
 
 impl StandInServer {
@@ -150,20 +150,20 @@
 
     async fn apply_call(&self, incarnation: &str, call: &Call) -> Response {
         let Some(until) = call.until else {
-            let (first, last, _) = call.row;
-            self.lock().call_grants.release(call.row);
+            let (first, last, _) = call.range;
+            self.lock().call_grants.release(call.range);
             // The reply to a release confirms that no requests are running on the keys.
             loop {
-                let working = self.lock().working.clone();
-                if !working.iter().any(|key| (first..=last).contains(key)) {
+                let running = self.lock().running.clone();
+                if !running.iter().any(|key| (first..=last).contains(key)) {
                     break;
                 }
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             self.report_holdings(incarnation);
-            return released(call.row);
+            return release_reply(call.range);
         };
-        let accepted = until > Instant::now() && self.lock().call_grants.grant(call.row, until);
+        let accepted = until > Instant::now() && self.lock().call_grants.grant(call.range, until);
         self.report_holdings(incarnation);
         match accepted {
             true => StatusCode::OK.into_response(),
@@ -173,11 +173,11 @@
 
     fn report_holdings(&self, incarnation: &str) {
         let held = self.lock().call_grants.held();
-        let rows: Vec<(HeldRange, Instant)> = held
+        let ranges: Vec<(HeldRange, Instant)> = held
             .iter()
-            .map(|GrantedRange { row, until }| (*row, *until))
+            .map(|GrantedRange { range, until }| (*range, *until))
             .collect();
-        self.truth.hold(incarnation, &rows);
+        self.truth.hold(incarnation, &ranges);
     }
 }
 
--- a/crates/rack/tests/system/support/stand_in_server.rs
+++ b/crates/rack/tests/system/support/stand_in_server.rs
@@ -79,7 +79,7 @@
     releasing: Vec<HeldRange>,
     held_until: Option<Instant>,
     /// Keys of running requests.
-    pub(super) working: Vec<u16>,
+    pub(super) running: Vec<u16>,
     released: Vec<(u16, u16, String)>,
     callers: Vec<String>,
     last_run: Option<Instant>,
@@ -252,11 +252,11 @@
     pub fn busiest_second(&self) -> usize {
         let state = self.lock();
         let all = &state.arrivals;
-        let within = |from: &Instant| {
+        let in_second = |from: &Instant| {
             let later = all.iter().filter(|at| *at >= from);
             later.take_while(|at| **at < *from + SECOND).count()
         };
-        all.iter().map(within).max().unwrap_or_default()
+        all.iter().map(in_second).max().unwrap_or_default()
     }
 
     /// Returns the calling services named in requests.
@@ -281,7 +281,7 @@
         let held = state
             .holds
             .iter()
-            .chain(called.iter().map(|granted| &granted.row));
+            .chain(called.iter().map(|granted| &granted.range));
         held.map(|(first, last, _)| u32::from(*last) - u32::from(*first) + 1)
             .sum()
     }
@@ -379,7 +379,9 @@
         reply: &Value,
     ) {
         let mut state = self.lock();
-        state.released.retain(|freed| !reported.contains(freed));
+        state
+            .released
+            .retain(|released| !reported.contains(released));
         if state.draining && state.acknowledged.is_none() {
             state.acknowledged = Some(Instant::now());
         }
@@ -400,14 +402,14 @@
             .collect();
         let mut held = state.holds.clone();
         held.append(&mut state.releasing);
-        let released = held.iter().flat_map(|row| subtract_ranges(*row, &next));
+        let released = held.iter().flat_map(|range| subtract_ranges(*range, &next));
         state.releasing = released.collect();
         state.holds.clone_from(&next);
         state.held_until = Some(until);
         state.finish_releases();
         let mut all = next;
         all.extend(&state.releasing);
-        let all: Vec<(HeldRange, Instant)> = all.into_iter().map(|row| (row, until)).collect();
+        let all: Vec<(HeldRange, Instant)> = all.into_iter().map(|range| (range, until)).collect();
         self.truth.hold(incarnation, &all);
     }
 
@@ -425,13 +427,13 @@
 }
 
 /// Returns the parts of a range that none of the others covers.
-pub(super) fn subtract_ranges(row: HeldRange, others: &[HeldRange]) -> Vec<HeldRange> {
-    let (_, last, fence) = row;
+pub(super) fn subtract_ranges(range: HeldRange, others: &[HeldRange]) -> Vec<HeldRange> {
+    let (_, last, fence) = range;
     let mut others: Vec<&HeldRange> = others.iter().collect();
     others.sort_unstable();
     let mut parts = Vec::new();
     // A wider type, because the key after the last one does not fit into u16.
-    let mut next = u32::from(row.0);
+    let mut next = u32::from(range.0);
     for (from, to, _) in others {
         if u32::from(*to) < next || *from > last {
             continue;
@@ -455,18 +457,18 @@
 
     /// Releases ranges on which no requests are running.
     fn finish_releases(&mut self) {
-        let working = self.working.clone();
+        let running = self.running.clone();
         let (busy, done): (Vec<HeldRange>, Vec<HeldRange>) = self
             .releasing
             .drain(..)
-            .partition(|(first, last, _)| working.iter().any(|key| (first..=last).contains(&key)));
+            .partition(|(first, last, _)| running.iter().any(|key| (first..=last).contains(&key)));
         self.releasing = busy;
         let sequence = self.sequence;
-        let freed = done.into_iter().map(|(first, last, _)| {
-            let word = format!("word-{sequence}-{first}");
-            (first, last, word)
+        let released = done.into_iter().map(|(first, last, _)| {
+            let handover = format!("word-{sequence}-{first}");
+            (first, last, handover)
         });
-        self.released.extend(freed);
+        self.released.extend(released);
     }
 
     fn holds(&self, key: u16) -> bool {
@@ -480,16 +482,16 @@
 }
 
 /// Marks a key as in use until dropped.
-struct Working {
+struct RunningKey {
     state: Arc<Mutex<ServerState>>,
     key: Option<u16>,
 }
 
-impl Drop for Working {
+impl Drop for RunningKey {
     fn drop(&mut self) {
         if let (Some(key), Ok(mut state)) = (self.key, self.state.lock()) {
-            let index = state.working.iter().position(|working| *working == key);
-            index.map(|index| state.working.swap_remove(index));
+            let index = state.running.iter().position(|running| *running == key);
+            index.map(|index| state.running.swap_remove(index));
         }
     }
 }
@@ -526,8 +528,8 @@
         let now = Instant::now();
         state.last_run = Some(now);
         state.arrivals.push(now);
-        state.working.extend(key);
-        let working = Working {
+        state.running.extend(key);
+        let running = RunningKey {
             state: Arc::clone(&server.state),
             key,
         };
@@ -537,7 +539,7 @@
             state.drop_responses,
             long,
             echo,
-            working,
+            running,
         )
     };
     server.truth.begin(&id, &incarnation);
--- a/crates/rack/tests/system/support/stand_in_store.rs
+++ b/crates/rack/tests/system/support/stand_in_store.rs
@@ -94,17 +94,17 @@
 
     /// Opens an endpoint on a free port of `ip`.
     pub async fn open_endpoint(&self, ip: &str) -> (StoreEndpoint, SocketAddr) {
-        let door = StoreEndpoint::default();
+        let endpoint = StoreEndpoint::default();
         let router = Router::new()
             .route("/log-newest", get(newest))
             .route("/log-read", get(read))
             .route("/log-append", post(append))
-            .layer(from_fn_with_state(door.clone(), apply_fault))
+            .layer(from_fn_with_state(endpoint.clone(), apply_fault))
             .with_state(self.clone());
         let listener = TcpListener::bind((ip, 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
         tokio::spawn(async move { axum::serve(listener, router).await });
-        (door, address)
+        (endpoint, address)
     }
 
     /// Expires all records but the newest of each key, so that reads from earlier offsets fail.
@@ -179,24 +179,28 @@
 
 impl StoreEndpoint {
     /// Sets or clears the fault of this endpoint.
-    pub fn set_fault(&self, how: Option<EndpointFault>) {
-        if how == Some(EndpointFault::Silent) {
+    pub fn set_fault(&self, fault: Option<EndpointFault>) {
+        if fault == Some(EndpointFault::Silent) {
             self.silences.fetch_add(1, Ordering::Relaxed);
         }
-        *self.fault.lock().unwrap() = how;
+        *self.fault.lock().unwrap() = fault;
     }
 }
 
-async fn apply_fault(State(door): State<StoreEndpoint>, request: Request, next: Next) -> Response {
-    let how = *door.fault.lock().unwrap();
-    let silences = door.silences.load(Ordering::Relaxed);
-    match how {
+async fn apply_fault(
+    State(endpoint): State<StoreEndpoint>,
+    request: Request,
+    next: Next,
+) -> Response {
+    let fault = *endpoint.fault.lock().unwrap();
+    let silences = endpoint.silences.load(Ordering::Relaxed);
+    match fault {
         Some(EndpointFault::Busy) => StatusCode::SERVICE_UNAVAILABLE.into_response(),
         Some(EndpointFault::TooMany) => StatusCode::TOO_MANY_REQUESTS.into_response(),
         Some(EndpointFault::Silent) => lost_reply().await,
         None => {
             let reply = next.run(request).await;
-            match silences == door.silences.load(Ordering::Relaxed) {
+            match silences == endpoint.silences.load(Ordering::Relaxed) {
                 true => reply,
                 false => lost_reply().await,
             }
--- a/crates/rack/tests/system/support/truth.rs
+++ b/crates/rack/tests/system/support/truth.rs
@@ -88,7 +88,7 @@
 
     /// Records what an incarnation of a server holds, and until when. Records a violation if
     /// another holds one of the keys, or had it with a token that is not lower.
-    pub fn hold(&self, incarnation: &str, rows: &[(HeldRange, Instant)]) {
+    pub fn hold(&self, incarnation: &str, ranges: &[(HeldRange, Instant)]) {
         let now = Instant::now();
         let mut state = self.state.lock().unwrap();
         let State {
@@ -97,7 +97,7 @@
             violations,
             ..
         } = &mut *state;
-        for ((first, last, fence), _) in rows {
+        for ((first, last, fence), _) in ranges {
             for (other, held) in holders.iter() {
                 let mut live = held.iter().filter(|(_, end)| *end > now);
                 let common = live.find(|((a, b, _), _)| a <= last && b >= first);
@@ -119,7 +119,7 @@
                 format!("{incarnation} gets {key} with {fence}, and {holder} had it with {highest}")
             }));
         }
-        holders.insert(incarnation.to_owned(), rows.to_vec());
+        holders.insert(incarnation.to_owned(), ranges.to_vec());
     }
 
     /// Records that an incarnation of a server no longer holds any keys.
--- a/crates/rack/tests/system/support/world.rs
+++ b/crates/rack/tests/system/support/world.rs
@@ -47,7 +47,7 @@
     /// First three bytes of the hosts' addresses.
     subnet: String,
     /// Bandwidth of the hosts' links, in Mbit/s.
-    link: f64,
+    link_mbps: f64,
     /// Value of the setting `grants`: how servers are granted keys.
     grants: &'static str,
     /// Number of hosts ever added; their names and addresses are not reused.
@@ -86,11 +86,11 @@
     }
 
     /// Starts hosts with links of this bandwidth, in Mbit/s.
-    pub async fn start_with_link(services: &[&str], link: f64) -> Self {
-        Self::start_with(services, link, "heartbeat").await
+    pub async fn start_with_link(services: &[&str], link_mbps: f64) -> Self {
+        Self::start_with(services, link_mbps, "heartbeat").await
     }
 
-    async fn start_with(services: &[&str], link: f64, grants: &'static str) -> Self {
+    async fn start_with(services: &[&str], link_mbps: f64, grants: &'static str) -> Self {
         let subnet = format!(
             "127.{}.{}",
             1 + std::process::id() % 250,
@@ -106,7 +106,7 @@
             folder,
             http: reqwest::Client::builder().no_proxy().build().unwrap(),
             subnet,
-            link,
+            link_mbps,
             grants,
             host_count: 0,
         };
@@ -140,7 +140,7 @@
             service,
             store,
             [clients, readiness, control, server],
-            self.link,
+            self.link_mbps,
         );
         let text = text.replace(
             "grants = \"heartbeat\"",
@@ -359,13 +359,13 @@
     }
 
     async fn all_served(&self) -> bool {
-        let places = 0..self.hosts.len();
-        let asks = places.flat_map(|index| SAMPLE_KEYS.map(|key| (index, key)));
-        let asks = asks.map(|(index, key)| async move {
+        let indices = 0..self.hosts.len();
+        let requests = indices.flat_map(|index| SAMPLE_KEYS.map(|key| (index, key)));
+        let requests = requests.map(|(index, key)| async move {
             let id = format!("look-{key}");
             self.request(index, &id, "/keyed/1", Some(key)).await.status
         });
-        let statuses = futures::future::join_all(asks).await;
+        let statuses = futures::future::join_all(requests).await;
         statuses
             .iter()
             .all(|status| *status == Some(StatusCode::OK))
