--- a/crates/rack/tests/soak/clients.rs
+++ b/crates/rack/tests/soak/clients.rs
@@ -35,7 +35,7 @@
     /// When a fault other than a graceful shutdown last affected the host or its connections.
     pub disturbed: Arc<Mutex<Instant>>,
     /// Whether the host was removed permanently.
-    pub lost: Arc<AtomicBool>,
+    pub removed: Arc<AtomicBool>,
 }
 
 /// Route of a request; only requests of `Once` must not run twice.
@@ -59,7 +59,7 @@
     index: usize,
     sent: SystemTime,
     /// Message for the violation.
-    what: String,
+    message: String,
 }
 
 /// Period in which a host had no process.
@@ -109,12 +109,12 @@
     /// Returns whether keyed and plain requests are served at every remaining host.
     pub async fn all_served(&self, keys: &[u16]) -> bool {
         let http = reqwest::Client::builder().no_proxy().build().unwrap();
-        let present = |index: &usize| !self.endpoints[*index].lost.load(Ordering::Relaxed);
+        let present = |index: &usize| !self.endpoints[*index].removed.load(Ordering::Relaxed);
         for index in (0..self.endpoints.len()).filter(present) {
-            let asks = keys
+            let requests = keys
                 .iter()
                 .map(|key| self.request(&http, index, Kind::Keyed, *key));
-            let keyed = futures::future::join_all(asks).await;
+            let keyed = futures::future::join_all(requests).await;
             let plain = self.request(&http, index, Kind::Plain, 0).await;
             if keyed
                 .into_iter()
@@ -179,7 +179,7 @@
     async fn check_response(&self, id: &str, response: reqwest::Response) -> Option<u16> {
         let status = response.status().as_u16();
         let stamp = response.headers().get("x-server-stamp").cloned();
-        let named = response.headers().get("x-request-id").cloned();
+        let echoed_id = response.headers().get("x-request-id").cloned();
         // A truncated body counts as no response.
         let body = response.text().await.ok()?;
         if status == 200 {
@@ -188,7 +188,7 @@
             let ran = runs
                 .iter()
                 .any(|run| Some(format!("stamp-of-{}", run.server)) == stamp);
-            if !ran || body != echo_of(id) || named.is_none_or(|named| named != id) {
+            if !ran || body != echo_of(id) || echoed_id.is_none_or(|echoed_id| echoed_id != id) {
                 self.truth
                     .record_violation(format!("{id} got another's answer, {stamp:?}"));
             }
@@ -204,19 +204,19 @@
     /// fault.
     fn record_unanswered(&self, id: &str, index: usize, sent: Instant, error: &reqwest::Error) {
         let endpoint = &self.endpoints[index];
-        let calm_since = *endpoint.disturbed.lock().unwrap() + Duration::from_secs(4);
+        let undisturbed_since = *endpoint.disturbed.lock().unwrap() + Duration::from_secs(4);
         let after = sent.elapsed();
         // A removed host cannot respond, and a busy machine reports it late.
-        if endpoint.lost.load(Ordering::Relaxed) {
+        if endpoint.removed.load(Ordering::Relaxed) {
             return;
         }
         // An earlier failure may have crossed the exit of the process or reached its closed port.
-        if after > REQUEST_READ_TIME && sent > calm_since {
+        if after > REQUEST_READ_TIME && sent > undisturbed_since {
             self.unanswered.lock().unwrap().push(UnansweredRequest {
                 id: id.to_owned(),
                 index,
                 sent: SystemTime::now() - after,
-                what: format!("{id} got no answer after {after:?}: {error:?}"),
+                message: format!("{id} got no answer after {after:?}: {error:?}"),
             });
         }
     }
@@ -228,11 +228,11 @@
     {
         for request in self.unanswered.lock().unwrap().iter() {
             let downtimes = downtimes(request.index);
-            let met = |(from, to): &Downtime| request.sent >= *from && request.sent <= *to;
-            if !downtimes.iter().any(met) {
+            let during = |(from, to): &Downtime| request.sent >= *from && request.sent <= *to;
+            if !downtimes.iter().any(during) {
                 let UnansweredRequest { id, index, .. } = request;
                 println!("{id} was sent to host {index} at {:?}", request.sent);
-                self.truth.record_violation(request.what.clone());
+                self.truth.record_violation(request.message.clone());
             }
         }
     }
--- a/crates/rack/tests/soak/fleet.rs
+++ b/crates/rack/tests/soak/fleet.rs
@@ -58,7 +58,7 @@
     streams: Vec<(Link, StreamProxy)>,
     datagrams: DatagramProxy,
     disturbed: Arc<Mutex<Instant>>,
-    lost: Arc<AtomicBool>,
+    removed: Arc<AtomicBool>,
 }
 
 /// A fleet under test.
@@ -92,8 +92,8 @@
     /// Starts a fleet.
     pub async fn start(seed: u64, hosts: usize) -> Self {
         let folder = tempfile::tempdir().unwrap();
-        let net = format!("127.{}.{}", 1 + std::process::id() % 250, 100 + seed % 100);
-        let (store, store_address) = StandInStore::bind(&format!("{net}.250")).await;
+        let subnet = format!("127.{}.{}", 1 + std::process::id() % 250, 100 + seed % 100);
+        let (store, store_address) = StandInStore::bind(&format!("{subnet}.250")).await;
         store.write("config", &config(1, 1_000));
         let mut fleet = Self {
             seed,
@@ -106,7 +106,7 @@
             _folder: folder,
         };
         for index in 0..hosts {
-            let ip = format!("{net}.{}", index + 1);
+            let ip = format!("{subnet}.{}", index + 1);
             fleet.add_host(&ip, index, store_address).await;
         }
         for index in 0..hosts {
@@ -166,12 +166,12 @@
         server.set_echo();
         server.set_service_time(SERVICE_TIME);
         let disturbed = Arc::new(Mutex::new(Instant::now()));
-        let lost = Arc::new(AtomicBool::new(false));
+        let removed = Arc::new(AtomicBool::new(false));
         self.endpoints.push(HostEndpoint {
             service: service.to_owned(),
             address: at(Link::Clients),
             disturbed: Arc::clone(&disturbed),
-            lost: Arc::clone(&lost),
+            removed: Arc::clone(&removed),
         });
         self.hosts.push(Host {
             server,
@@ -184,7 +184,7 @@
                 .await
                 .unwrap(),
             disturbed,
-            lost,
+            removed,
         });
     }
 
@@ -212,11 +212,11 @@
             "seed {}: {served} of {all} served, settled after {took:?}",
             self.seed
         );
-        let broken = self.truth.violations();
-        if !broken.is_empty() {
+        let violations = self.truth.violations();
+        if !violations.is_empty() {
             self.keep_logs();
         }
-        broken
+        violations
     }
 
     async fn run_script(&mut self) {
@@ -225,8 +225,8 @@
         for (at, fault) in script::draw(self.seed, self.hosts.len()) {
             self.wait_until(began + at, &mut recoveries).await;
             println!("seed {} {at:?} {fault:?}", self.seed);
-            let undo = self.start_fault(fault);
-            recoveries.extend(undo.map(|(time, undo)| (Instant::now() + time, undo)));
+            let recovery = self.start_fault(fault);
+            recoveries.extend(recovery.map(|(time, recovery)| (Instant::now() + time, recovery)));
         }
         while let Some(last) = recoveries.iter().map(|(at, _)| *at).max() {
             self.wait_until(last, &mut recoveries).await;
@@ -238,9 +238,9 @@
             let now = Instant::now();
             let due = recoveries.iter().position(|(at, _)| *at <= now);
             if let Some(due) = due {
-                let (_, undo) = recoveries.swap_remove(due);
-                let again = self.undo(undo).await;
-                recoveries.extend(again.map(|(time, undo)| (now + time, undo)));
+                let (_, recovery) = recoveries.swap_remove(due);
+                let next = self.recover(recovery).await;
+                recoveries.extend(next.map(|(time, recovery)| (now + time, recovery)));
                 continue;
             }
             if now >= end {
@@ -267,7 +267,7 @@
                 self.signal(index, Signal::STOP);
                 Some((time, Recovery::Resume(index)))
             }
-            Fault::Leave(index) => {
+            Fault::Terminate(index) => {
                 // A paused process does not handle signals.
                 self.signal(index, Signal::CONT);
                 self.signal(index, Signal::TERM);
@@ -275,7 +275,7 @@
                 let ended = Recovery::StartOnceEnded(index, id, Instant::now());
                 Some((Duration::from_millis(50), ended))
             }
-            Fault::Lose(index) => {
+            Fault::RemoveHost(index) => {
                 self.remove_host(index);
                 None
             }
@@ -297,7 +297,7 @@
                     Recovery::ReplaceServer(index, server.incarnation()),
                 ))
             }
-            Fault::LoseAnswers(index, time) => {
+            Fault::LoseResponses(index, time) => {
                 self.hosts[index].server.drop_responses(true);
                 Some((time, Recovery::DeliverResponses(index)))
             }
@@ -325,8 +325,8 @@
         }
     }
 
-    async fn undo(&mut self, undo: Recovery) -> Option<(Duration, Recovery)> {
-        match undo {
+    async fn recover(&mut self, recovery: Recovery) -> Option<(Duration, Recovery)> {
+        match recovery {
             Recovery::StartNode(usize::MAX) => {
                 for index in 1..self.hosts.len() {
                     self.start_node(index);
@@ -340,7 +340,8 @@
             Recovery::StartOnceEnded(index, id, since) => {
                 return self.restart_once_ended(index, id, since);
             }
-            Recovery::RestartServer(index) if self.hosts[index].lost.load(Ordering::Relaxed) => {}
+            Recovery::RestartServer(index) if self.hosts[index].removed.load(Ordering::Relaxed) => {
+            }
             Recovery::RestartServer(index) => {
                 self.hosts[index]
                     .server
@@ -388,8 +389,8 @@
     /// Deregisters a draining server and starts its successor at the same address.
     async fn replace_server(&mut self, index: usize, incarnation: &str) {
         let server = self.hosts[index].server.clone();
-        let lost = self.hosts[index].lost.load(Ordering::Relaxed);
-        if server.incarnation() != incarnation || lost {
+        let removed = self.hosts[index].removed.load(Ordering::Relaxed);
+        if server.incarnation() != incarnation || removed {
             return;
         }
         if server.is_drain_acknowledged() && server.ran_after_drain() > DRAIN_TIME {
@@ -405,17 +406,17 @@
 
     /// Removes a host permanently, unless too few would remain to serve everything.
     fn remove_host(&mut self, index: usize) {
-        let present = |host: &&Host| !host.lost.load(Ordering::Relaxed);
+        let present = |host: &&Host| !host.removed.load(Ordering::Relaxed);
         let left = self.hosts.iter().filter(present).count();
         let service = &self.endpoints[index].service;
         let endpoints = self.endpoints.iter();
         let same = endpoints
             .filter(|endpoint| endpoint.service == *service)
-            .filter(|endpoint| !endpoint.lost.load(Ordering::Relaxed));
+            .filter(|endpoint| !endpoint.removed.load(Ordering::Relaxed));
         if left <= self.hosts.len() * 2 / 3 || same.count() <= 1 {
             return;
         }
-        self.hosts[index].lost.store(true, Ordering::Relaxed);
+        self.hosts[index].removed.store(true, Ordering::Relaxed);
         self.kill(index);
         self.set_stream(index, Link::Server, refusing());
         self.stream(index, Link::Server).cut();
@@ -429,7 +430,7 @@
 
     fn start_node(&mut self, index: usize) {
         let host = &mut self.hosts[index];
-        if host.lost.load(Ordering::Relaxed) {
+        if host.removed.load(Ordering::Relaxed) {
             return;
         }
         if host.process.as_mut().is_none_or(NodeProcess::has_ended) {
@@ -567,7 +568,7 @@
 fn store_faults(fault: StoreFaultKind) -> StoreFaults {
     let none = StoreFaults::default();
     match fault {
-        StoreFaultKind::Away => StoreFaults {
+        StoreFaultKind::Unavailable => StoreFaults {
             unavailable: true,
             ..none
         },
@@ -575,7 +576,7 @@
             slow: Duration::from_millis(300),
             ..none
         },
-        StoreFaultKind::LosesAnswers => StoreFaults {
+        StoreFaultKind::DropsReplies => StoreFaults {
             drops_replies: true,
             ..none
         },
--- a/crates/rack/tests/soak/main.rs
+++ b/crates/rack/tests/soak/main.rs
@@ -24,15 +24,15 @@
 
 /// Number of seeds by default, and the first of them.
 const DEFAULT_SEEDS: u64 = 2;
-const DEFAULT_FIRST: u64 = 1;
+const DEFAULT_FIRST_SEED: u64 = 1;
 /// How many seeds run concurrently.
 const DEFAULT_JOBS: u64 = 2;
 /// Number of hosts.
 const DEFAULT_HOSTS: usize = 7;
 
-fn setting(name: &str, usual: u64) -> u64 {
+fn setting(name: &str, default: u64) -> u64 {
     let value = std::env::var(format!("QUETZALRACK_SOAK_{name}")).ok();
-    value.map_or(usual, |value| value.parse().unwrap())
+    value.map_or(default, |value| value.parse().unwrap())
 }
 
 /// Runs one seed; returns the violated guarantees.
@@ -41,12 +41,12 @@
         .enable_all()
         .build()
         .unwrap();
-    let broken = runtime.block_on(async {
+    let violations = runtime.block_on(async {
         let mut fleet = Fleet::start(seed, hosts).await;
         fleet.run().await
     });
     runtime.shutdown_timeout(Duration::from_secs(1));
-    broken
+    violations
 }
 
 /// Guards against violated guarantees under overlapping series of faults: processes and servers are
@@ -56,7 +56,7 @@
 /// is served again soon after the last fault.
 #[test]
 fn random_faults() {
-    let first = setting("FIRST", DEFAULT_FIRST);
+    let first = setting("FIRST", DEFAULT_FIRST_SEED);
     let hosts = usize::try_from(setting("HOSTS", DEFAULT_HOSTS as u64)).unwrap();
     let end = first + setting("SEEDS", DEFAULT_SEEDS);
     let next = AtomicU64::new(first);
@@ -67,9 +67,9 @@
             if seed >= end {
                 return;
             }
-            let broken = run_seed(seed, hosts);
-            println!("seed {seed}: {} promises broken", broken.len());
-            let named = broken.iter().map(|what| format!("seed {seed}: {what}"));
+            let violations = run_seed(seed, hosts);
+            println!("seed {seed}: {} promises broken", violations.len());
+            let named = violations.iter().map(|what| format!("seed {seed}: {what}"));
             failed.lock().unwrap().extend(named);
         }
     };
@@ -87,7 +87,7 @@
 fn failed_before() {
     let seeds: [u64; 0] = [];
     for seed in seeds {
-        let broken = run_seed(seed, DEFAULT_HOSTS);
-        assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
+        let violations = run_seed(seed, DEFAULT_HOSTS);
+        assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
     }
 }
--- a/crates/rack/tests/soak/script.rs
+++ b/crates/rack/tests/soak/script.rs
@@ -14,9 +14,9 @@
     /// The process is paused.
     Pause(usize, Duration),
     /// The process receives SIGTERM and is restarted after it has exited.
-    Leave(usize),
+    Terminate(usize),
     /// The host and its server are removed permanently without a shutdown.
-    Lose(usize),
+    RemoveHost(usize),
     /// All processes but the first are killed at once.
     KillMost(Duration),
     /// The process receives SIGHUP.
@@ -26,7 +26,7 @@
     /// The server reports that it is draining, and is replaced.
     Drain(usize),
     /// The server's responses are lost after it has executed the requests.
-    LoseAnswers(usize, Duration),
+    LoseResponses(usize, Duration),
     /// The server is slow.
     Slow(usize, Duration),
     /// A link of the host is faulty.
@@ -64,9 +64,9 @@
 /// Fault of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFaultKind {
-    Away,
+    Unavailable,
     Slow,
-    LosesAnswers,
+    DropsReplies,
     Late,
 }
 
@@ -87,9 +87,9 @@
     LinkFault::Refuse,
 ];
 const STORE_FAULTS: [StoreFaultKind; 4] = [
-    StoreFaultKind::Away,
+    StoreFaultKind::Unavailable,
     StoreFaultKind::Slow,
-    StoreFaultKind::LosesAnswers,
+    StoreFaultKind::DropsReplies,
     StoreFaultKind::Late,
 ];
 /// Period in which faults start.
@@ -128,12 +128,12 @@
     match random.random_range(0..21) {
         0..=2 => Fault::Kill(index, short),
         3..=4 => Fault::Pause(index, long),
-        5..=6 => Fault::Leave(index),
+        5..=6 => Fault::Terminate(index),
         7 => Fault::KillMost(short),
         8 => Fault::Hup(index),
         9 => Fault::Crash(index, short),
         10 => Fault::Drain(index),
-        11 => Fault::LoseAnswers(index, short),
+        11 => Fault::LoseResponses(index, short),
         12 => Fault::Slow(index, long),
         13..=15 => {
             let link = LINKS[random.random_range(0..LINKS.len())];
@@ -144,7 +144,7 @@
             let fault = STORE_FAULTS[random.random_range(0..STORE_FAULTS.len())];
             Fault::Store(fault, long)
         }
-        20 => Fault::Lose(index),
+        20 => Fault::RemoveHost(index),
         18 => Fault::Evacuate(random.random_range(0..3), long),
         _ => Fault::Config,
     }
@@ -155,12 +155,12 @@
         match self {
             Self::Kill(_, time) => Self::Kill(index, time),
             Self::Pause(_, time) => Self::Pause(index, time),
-            Self::Leave(_) => Self::Leave(index),
-            Self::Lose(_) => Self::Lose(index),
+            Self::Terminate(_) => Self::Terminate(index),
+            Self::RemoveHost(_) => Self::RemoveHost(index),
             Self::Hup(_) => Self::Hup(index),
             Self::Crash(_, time) => Self::Crash(index, time),
             Self::Drain(_) => Self::Drain(index),
-            Self::LoseAnswers(_, time) => Self::LoseAnswers(index, time),
+            Self::LoseResponses(_, time) => Self::LoseResponses(index, time),
             Self::Slow(_, time) => Self::Slow(index, time),
             Self::Link(_, link, fault, time) => Self::Link(index, link, fault, time),
             same => same,
