--- a/crates/rack/tests/system/support/world.rs
+++ b/crates/rack/tests/system/support/world.rs
@@ -1,4 +1,4 @@
-//! Hosts on loopback, each with a server and the real program.
+//! Hosts on loopback, each with a backend server and the router's process.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -21,44 +21,44 @@
 use super::node_process::keep_logs;
 use super::stand_in_server::ServerPlan;
 use super::stand_in_server::StandInServer;
-use super::stand_in_store::Door;
 use super::stand_in_store::StandInStore;
+use super::stand_in_store::StoreEndpoint;
 use super::texts::config;
 use super::texts::settings;
 use super::truth::Truth;
 
-/// The first three bytes of the loopback addresses of this test process's hosts; two tests run at
-/// the same time, also in different processes, and must not share ports.
-static NEXT_NET: AtomicU64 = AtomicU64::new(1);
+/// Third byte of this test's loopback subnet. Tests run concurrently, also in different processes,
+/// and must not share ports.
+static NEXT_SUBNET: AtomicU64 = AtomicU64::new(1);
 
-/// Keys that are asked for to know whether all are served.
-const SAMPLE: [u16; 8] = [0, 9_000, 18_000, 27_000, 36_000, 45_000, 54_000, 65_535];
+/// Sample of keys that is requested to check whether all keys are served.
+const SAMPLE_KEYS: [u16; 8] = [0, 9_000, 18_000, 27_000, 36_000, 45_000, 54_000, 65_535];
 
-/// A link that holds nothing up, in Mbit/s.
-const WIDE: f64 = 1_000.0;
+/// Bandwidth that delays nothing, in Mbit/s.
+const FAST_LINK_MBPS: f64 = 1_000.0;
 
-/// Is a platform with its hosts.
+/// A platform with its hosts.
 pub struct World {
     pub store: StandInStore,
     pub hosts: Vec<Host>,
     pub truth: Arc<Truth>,
     folder: TempDir,
     http: reqwest::Client,
-    /// The first three bytes of the hosts' addresses.
-    net: String,
-    /// The bandwidth of the hosts' links, in Mbit/s.
-    link: f64,
-    /// How servers are granted keys, in the words of the settings.
+    /// First three bytes of the hosts' addresses.
+    subnet: String,
+    /// Bandwidth of the hosts' links, in Mbit/s.
+    link_mbps: f64,
+    /// Value of the setting `grants`: how servers are granted keys.
     grants: &'static str,
-    /// How many hosts there ever were; their names and addresses are not used again.
-    made: usize,
+    /// Number of hosts ever added; their names and addresses are not reused.
+    host_count: usize,
 }
 
-/// Is one host.
+/// A host with its backend server and the router's process.
 pub struct Host {
     pub server: StandInServer,
-    /// This host's way to the store.
-    pub store: Door,
+    /// The store's endpoint for this host.
+    pub store: StoreEndpoint,
     pub(super) clients: SocketAddr,
     readiness: SocketAddr,
     settings: PathBuf,
@@ -66,37 +66,37 @@
     lines: Lines,
 }
 
-/// Is what a client got.
+/// What a client received.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Got {
+pub struct ClientResponse {
     pub status: Option<StatusCode>,
     pub body: String,
     pub retry_after: Option<String>,
 }
 
 impl World {
-    /// Starts hosts, each for one service; services named `keyed` are divided by key.
+    /// Starts hosts, each for one service; keys divide the service named `keyed`.
     pub async fn start(services: &[&str]) -> Self {
-        Self::start_with(services, WIDE, "heartbeat").await
+        Self::start_with(services, FAST_LINK_MBPS, "heartbeat").await
     }
 
     /// Starts hosts whose servers are granted keys by call.
     pub async fn start_by_call(services: &[&str]) -> Self {
-        Self::start_with(services, WIDE, "request").await
+        Self::start_with(services, FAST_LINK_MBPS, "request").await
     }
 
-    /// Starts hosts whose links are this wide, in Mbit/s.
-    pub async fn start_with_link(services: &[&str], link: f64) -> Self {
-        Self::start_with(services, link, "heartbeat").await
+    /// Starts hosts with links of this bandwidth, in Mbit/s.
+    pub async fn start_with_link(services: &[&str], link_mbps: f64) -> Self {
+        Self::start_with(services, link_mbps, "heartbeat").await
     }
 
-    async fn start_with(services: &[&str], link: f64, grants: &'static str) -> Self {
-        let net = format!(
+    async fn start_with(services: &[&str], link_mbps: f64, grants: &'static str) -> Self {
+        let subnet = format!(
             "127.{}.{}",
             1 + std::process::id() % 250,
-            NEXT_NET.fetch_add(1, Ordering::Relaxed)
+            NEXT_SUBNET.fetch_add(1, Ordering::Relaxed)
         );
-        let (store, _) = StandInStore::bind(&format!("{net}.200")).await;
+        let (store, _) = StandInStore::bind(&format!("{subnet}.200")).await;
         store.write("config", &config(1, 1_000));
         let folder = tempfile::tempdir().unwrap();
         let mut world = Self {
@@ -105,60 +105,60 @@
             truth: Arc::default(),
             folder,
             http: reqwest::Client::builder().no_proxy().build().unwrap(),
-            net,
-            link,
+            subnet,
+            link_mbps,
             grants,
-            made: 0,
+            host_count: 0,
         };
         for service in services {
             world.add_host(service).await;
         }
-        for place in 0..services.len() {
-            world.start_node(place);
+        for index in 0..services.len() {
+            world.start_node(index);
         }
         world
     }
 
-    /// Adds a host with its server; its node is still to be started. Returns its place.
+    /// Adds a host with its server, without starting its node, and returns its index.
     pub async fn add_host(&mut self, service: &str) -> usize {
-        let host = self.host(self.made, service).await;
-        self.made += 1;
+        let host = self.host(self.host_count, service).await;
+        self.host_count += 1;
         self.hosts.push(host);
         self.hosts.len() - 1
     }
 
-    async fn host(&self, place: usize, service: &str) -> Host {
-        let ip = format!("{}.{}", self.net, place + 1);
-        let (store_door, store) = self.store.open_door(&ip).await;
-        // Every host has an address of its own, so all use the same ports, below those that the
-        // kernel gives to outgoing connections.
+    async fn host(&self, index: usize, service: &str) -> Host {
+        let ip = format!("{}.{}", self.subnet, index + 1);
+        let (store_endpoint, store) = self.store.open_endpoint(&ip).await;
+        // Every host has an address of its own, so all use the same ports, which lie below those
+        // that the kernel assigns to outgoing connections.
         let port = |port| SocketAddr::new(ip.parse().unwrap(), port);
         let [clients, readiness, control, server] = [8_304, 8_302, 8_306, 8_301].map(port);
         let text = settings(
             &ip,
-            place,
+            index,
             service,
             store,
             [clients, readiness, control, server],
-            self.link,
+            self.link_mbps,
         );
         let text = text.replace(
             "grants = \"heartbeat\"",
             &format!("grants = {:?}", self.grants),
         );
-        let path = self.folder.path().join(format!("settings-{place}.toml"));
+        let path = self.folder.path().join(format!("settings-{index}.toml"));
         fs::write(&path, text).unwrap();
         let plan = ServerPlan {
-            id: format!("server-{place}"),
+            id: format!("server-{index}"),
             service: service.to_owned(),
             keyed: service == "keyed",
-            listens: server,
-            told: server,
+            listen: server,
+            advertised: server,
             control,
         };
         Host {
             server: StandInServer::spawn(plan, Arc::clone(&self.truth)).await,
-            store: store_door,
+            store: store_endpoint,
             clients,
             readiness,
             settings: path,
@@ -172,98 +172,114 @@
         self.store.write("config", &config(version, 1_000));
     }
 
-    /// Writes a new configuration as soon as a node has read the first of several pages of what is newest.
+    /// Writes a new configuration as soon as a node has read the first of several pages of the
+    /// newest records.
     pub fn write_config_between_pages(&self, version: u64) {
         self.store
             .write_between_pages("config", &config(version, 1_000));
     }
 
-    /// Writes a new configuration whose routes wait for twenty seconds.
-    pub fn write_patient_config(&self, version: u64) {
+    /// Writes a new configuration whose routes have a timeout of twenty seconds.
+    pub fn write_long_timeout_config(&self, version: u64) {
         self.store.write("config", &config(version, 20_000));
     }
 
-    fn request(&self, place: usize, id: &str, path: &str, patience_ms: u32) -> RequestBuilder {
-        let url = format!("http://{}{path}", self.hosts[place].clients);
+    fn build_request(&self, index: usize, id: &str, path: &str, timeout_ms: u32) -> RequestBuilder {
+        let url = format!("http://{}{path}", self.hosts[index].clients);
         self.http
             .get(url)
             .header("host", "shop.example")
             .header("x-request-id", id)
-            .header("x-deadline-ms", patience_ms.to_string())
-    }
-
-    /// Sends a request whose client waits for less time than any attempt needs.
-    pub async fn ask_hastily(&self, place: usize, id: &str, path: &str) -> Option<StatusCode> {
-        let request = self.request(place, id, path, 30);
-        let answer = request.send().await;
-        answer.ok().map(|answer| answer.status())
-    }
-
-    /// Sends a request whose client waits for twenty seconds; nothing if the connection ends
-    /// without an answer.
-    pub async fn ask_patiently(&self, place: usize, id: &str, path: &str) -> Option<StatusCode> {
-        let request = self.request(place, id, path, 20_000);
-        let answer = request.send().await;
-        answer.ok().map(|answer| answer.status())
-    }
-
-    /// Sends a request whose client waits for twenty seconds, and returns how long its answer is;
-    /// nothing unless it came whole.
-    pub async fn fetch_patiently(&self, place: usize, id: &str, path: &str) -> Option<usize> {
-        let request = self.request(place, id, path, 20_000);
-        let answer = request.send().await.ok()?;
-        answer.bytes().await.ok().map(|body| body.len())
-    }
-
-    /// Replaces a text in the settings file of a host, and says nothing of it to the program.
-    pub fn change_settings(&self, place: usize, from: &str, to: &str) {
-        let path = &self.hosts[place].settings;
+            .header("x-deadline-ms", timeout_ms.to_string())
+    }
+
+    /// Sends a request with a timeout that is shorter than any attempt.
+    pub async fn request_with_short_timeout(
+        &self,
+        index: usize,
+        id: &str,
+        path: &str,
+    ) -> Option<StatusCode> {
+        let request = self.build_request(index, id, path, 30);
+        let response = request.send().await;
+        response.ok().map(|response| response.status())
+    }
+
+    /// Sends a request with a timeout of twenty seconds; returns `None` if the connection ends
+    /// without a response.
+    pub async fn request_with_long_timeout(
+        &self,
+        index: usize,
+        id: &str,
+        path: &str,
+    ) -> Option<StatusCode> {
+        let request = self.build_request(index, id, path, 20_000);
+        let response = request.send().await;
+        response.ok().map(|response| response.status())
+    }
+
+    /// Sends a request with a timeout of twenty seconds and returns the length of the response, or
+    /// `None` unless it arrived complete.
+    pub async fn fetch_with_long_timeout(
+        &self,
+        index: usize,
+        id: &str,
+        path: &str,
+    ) -> Option<usize> {
+        let request = self.build_request(index, id, path, 20_000);
+        let response = request.send().await.ok()?;
+        response.bytes().await.ok().map(|body| body.len())
+    }
+
+    /// Replaces a text in a host's settings file without notifying the process.
+    pub fn change_settings(&self, index: usize, from: &str, to: &str) {
+        let path = &self.hosts[index].settings;
         let text = fs::read_to_string(path).unwrap();
         assert!(text.contains(from));
         fs::write(path, text.replace(from, to)).unwrap();
     }
 
-    /// Tells the program on a host that its settings file has changed.
-    pub fn hang_up(&self, place: usize) {
-        self.hosts[place].process().signal(Signal::HUP);
+    /// Sends SIGHUP, which reloads the settings file.
+    pub fn send_sighup(&self, index: usize) {
+        self.hosts[index].process().signal(Signal::HUP);
     }
 
-    /// Returns the place of the node that leads, by its log.
+    /// Returns the index of the node that logged the highest epoch as leader.
     pub fn leader(&self) -> usize {
-        let newest = |place: &usize| {
-            let lines = self.lines(*place, "event", "leads");
+        let newest = |index: &usize| {
+            let lines = self.lines(*index, "event", "leads");
             lines.iter().filter_map(|line| line["epoch"].as_u64()).max()
         };
         (0..self.hosts.len()).max_by_key(newest).unwrap()
     }
 
-    /// Starts the program on a host.
-    pub fn start_node(&mut self, place: usize) {
-        let host = &mut self.hosts[place];
+    /// Starts the router on a host.
+    pub fn start_node(&mut self, index: usize) {
+        let host = &mut self.hosts[index];
         host.process = Some(NodeProcess::spawn(&host.settings, &[], &host.lines));
     }
 
-    /// Starts the program on a host with a reader of its output that never reads.
-    pub fn start_node_unread(&mut self, place: usize) {
-        let host = &mut self.hosts[place];
+    /// Starts the router on a host with an output pipe that is never read.
+    pub fn start_node_unread(&mut self, index: usize) {
+        let host = &mut self.hosts[index];
         host.process = Some(NodeProcess::spawn_unread(&host.settings, &[]));
     }
 
-    /// Kills the program on a host.
-    pub fn kill_node(&mut self, place: usize) {
-        self.hosts[place].process = None;
+    /// Kills the router on a host.
+    pub fn kill_node(&mut self, index: usize) {
+        self.hosts[index].process = None;
     }
 
-    /// Tells the program on a host to leave.
-    pub fn terminate_node(&self, place: usize) {
-        self.hosts[place].process().signal(Signal::TERM);
+    /// Sends SIGTERM to the router on a host.
+    pub fn terminate_node(&self, index: usize) {
+        self.hosts[index].process().signal(Signal::TERM);
     }
 
-    /// Waits until the program on a host has ended by itself.
-    pub async fn ended(&mut self, place: usize, patience: Duration) -> bool {
-        let until = Instant::now() + patience;
+    /// Waits until the router on a host exits by itself; returns whether it did in time.
+    pub async fn wait_for_exit(&mut self, index: usize, timeout: Duration) -> bool {
+        let until = Instant::now() + timeout;
         while Instant::now() < until {
-            if self.hosts[place].process.as_mut().unwrap().has_ended() {
+            if self.hosts[index].process.as_mut().unwrap().has_ended() {
                 return true;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -271,9 +287,9 @@
         false
     }
 
-    /// Returns the lines that the program on a host has logged, with a field of this value.
-    pub fn lines(&self, place: usize, field: &str, value: &str) -> Vec<Value> {
-        let lines = self.hosts[place].lines.lock().unwrap();
+    /// Returns the lines logged on a host whose field has this value.
+    pub fn lines(&self, index: usize, field: &str, value: &str) -> Vec<Value> {
+        let lines = self.hosts[index].lines.lock().unwrap();
         lines
             .iter()
             .filter(|line| line[field] == value)
@@ -281,93 +297,100 @@
             .collect()
     }
 
-    /// Tells whether a host says that it is ready.
-    pub async fn is_ready(&self, place: usize) -> bool {
-        let url = format!("http://{}/readiness", self.hosts[place].readiness);
+    /// Returns whether a host reports that it is ready.
+    pub async fn is_ready(&self, index: usize) -> bool {
+        let url = format!("http://{}/readiness", self.hosts[index].readiness);
         self.http
             .get(url)
             .send()
             .await
-            .is_ok_and(|answer| answer.status().is_success())
-    }
-
-    /// Sends a request to a host; the path's first part names its route.
-    pub async fn ask(&self, place: usize, id: &str, path: &str, key: Option<u16>) -> Got {
-        let request = self.request(place, id, path, 1_500);
+            .is_ok_and(|response| response.status().is_success())
+    }
+
+    /// Sends a request to a host; the first path segment selects the route.
+    pub async fn request(
+        &self,
+        index: usize,
+        id: &str,
+        path: &str,
+        key: Option<u16>,
+    ) -> ClientResponse {
+        let request = self.build_request(index, id, path, 1_500);
         let mut request = request.header("x-caller-service", "a-lie");
         if let Some(key) = key {
             request = request.header("x-shard-key", key.to_string());
         }
-        let Ok(answer) = request.send().await else {
-            return Got {
+        let Ok(response) = request.send().await else {
+            return ClientResponse {
                 status: None,
                 body: String::new(),
                 retry_after: None,
             };
         };
-        let retry_after = answer.headers().get("retry-after");
-        Got {
-            status: Some(answer.status()),
+        let retry_after = response.headers().get("retry-after");
+        ClientResponse {
+            status: Some(response.status()),
             retry_after: retry_after.map(|value| value.to_str().unwrap().to_owned()),
-            body: answer.text().await.unwrap_or_default(),
+            body: response.text().await.unwrap_or_default(),
         }
     }
 
-    /// Returns after which time every key of a sample is served at every host, to a fifth of a second:
-    /// looks follow one another sooner than a request without an owner is refused.
-    pub async fn served_after(&self, patience: Duration) -> Duration {
+    /// Returns when every key of the sample was served at every host, to a fifth of a second. The
+    /// checks start at shorter intervals than the time after which a request without an owner is
+    /// refused.
+    pub async fn time_until_served(&self, timeout: Duration) -> Duration {
         let started = Instant::now();
-        let mut looks = futures::stream::FuturesUnordered::new();
+        let mut checks = futures::stream::FuturesUnordered::new();
         let mut tick = tokio::time::interval(Duration::from_millis(200));
         loop {
             tokio::select! {
-                _ = tick.tick() => looks.push(async {
-                    let begun = started.elapsed();
-                    (begun, self.all_served().await)
+                _ = tick.tick() => checks.push(async {
+                    let check_start = started.elapsed();
+                    (check_start, self.all_served().await)
                 }),
-                Some((begun, served)) = looks.next() => {
+                Some((check_start, served)) = checks.next() => {
                     if served {
-                        return begun;
+                        return check_start;
                     }
-                    assert!(begun < patience, "not served after {begun:?}");
+                    assert!(check_start < timeout, "not served after {check_start:?}");
                 }
             }
         }
     }
 
     async fn all_served(&self) -> bool {
-        let places = 0..self.hosts.len();
-        let asks = places.flat_map(|place| SAMPLE.map(|key| (place, key)));
-        let asks = asks.map(|(place, key)| async move {
+        let indices = 0..self.hosts.len();
+        let requests = indices.flat_map(|index| SAMPLE_KEYS.map(|key| (index, key)));
+        let requests = requests.map(|(index, key)| async move {
             let id = format!("look-{key}");
-            self.ask(place, &id, "/keyed/1", Some(key)).await.status
+            self.request(index, &id, "/keyed/1", Some(key)).await.status
         });
-        let statuses = futures::future::join_all(asks).await;
+        let statuses = futures::future::join_all(requests).await;
         statuses
             .iter()
             .all(|status| *status == Some(StatusCode::OK))
     }
 
-    /// Waits until every key of a sample is served at every host.
-    pub async fn settled(&self, patience: Duration) -> Duration {
+    /// Waits until every key of the sample is served at every host.
+    pub async fn wait_until_served(&self, timeout: Duration) -> Duration {
         let started = Instant::now();
         loop {
             let mut served = 0;
-            for place in 0..self.hosts.len() {
-                for key in SAMPLE {
-                    let got = self
-                        .ask(place, &format!("settle-{key}"), "/keyed/1", Some(key))
+            for index in 0..self.hosts.len() {
+                for key in SAMPLE_KEYS {
+                    let response = self
+                        .request(index, &format!("settle-{key}"), "/keyed/1", Some(key))
                         .await;
-                    served += usize::from(got.status == Some(StatusCode::OK));
+                    served += usize::from(response.status == Some(StatusCode::OK));
                 }
             }
-            if served == self.hosts.len() * SAMPLE.len() {
+            if served == self.hosts.len() * SAMPLE_KEYS.len() {
                 return started.elapsed();
             }
             assert!(
-                started.elapsed() < patience,
+                started.elapsed() < timeout,
                 "{served} of {} are served",
-                self.hosts.len() * SAMPLE.len()
+                self.hosts.len() * SAMPLE_KEYS.len()
             );
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -375,33 +398,32 @@
 }
 
 impl Drop for World {
-    /// Keeps what the programs have logged if the test has failed, or `QUETZALRACK_TEST_LOGS` is set.
+    /// Keeps the logs if the test has failed or `QUETZALRACK_TEST_LOGS` is set.
     fn drop(&mut self) {
         if !std::thread::panicking() && std::env::var_os("QUETZALRACK_TEST_LOGS").is_none() {
             return;
         }
         let lines = self.hosts.iter().map(|host| &host.lines);
-        keep_logs(&format!("quetzalrack-world-{}", self.net), lines);
+        keep_logs(&format!("quetzalrack-world-{}", self.subnet), lines);
     }
 }
 
 impl Host {
-    /// Starts the program on a host that is no part of its world yet.
+    /// Starts the router on a host that has not been added to the world yet.
     pub fn spawn(&self) -> NodeProcess {
         NodeProcess::spawn(&self.settings, &[], &self.lines)
     }
 
-    /// Tells whether the program has ended by itself.
+    /// Returns whether the router has exited by itself.
     pub fn has_ended(&mut self) -> bool {
         self.process.as_mut().unwrap().has_ended()
     }
 
-    /// Returns where other nodes send requests.
+    /// Returns the address for requests from other nodes.
     pub fn hops(&self) -> SocketAddr {
         SocketAddr::new(self.clients.ip(), 7_620)
     }
 
-    /// Returns the program's process.
     pub fn process(&self) -> &NodeProcess {
         self.process.as_ref().unwrap()
     }
