--- a/crates/rack/tests/system/faults.rs
+++ b/crates/rack/tests/system/faults.rs
@@ -1,5 +1,4 @@
-//! Killed processes, store outages, draining servers, lost responses and disconnecting clients; clients and
-//! servers record what they observe.
+//! Killed and terminated processes, store outages, draining servers, lost responses and slow clients.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -171,10 +170,9 @@
     assert_eq!(runs("lost-plain"), 2);
 }
 
-/// Guards against work for a client that has disconnected. The client pipelines three requests and closes
-/// the connection during the first. The HTTP library has read the others already, so it does not notice
-/// the close by reading. The second request may run only once and has not started, so no server may get
-/// it; the servers must stop working on the first and the third, which have started.
+/// Guards against work for a client that disconnects during the first of three pipelined requests. The HTTP
+/// library has read the others already, so it reads no more and misses the close. The second may run only
+/// once and has not started, so no server may get it; work on the first and the third, which have, must stop.
 #[tokio::test(flavor = "multi_thread")]
 async fn client_disconnects() {
     let world = World::start(&["plain", "keyed"]).await;
@@ -250,10 +248,9 @@
     assert!(world.ended(1, Duration::from_secs(6)).await);
 }
 
-/// Guards against a connection that is held open for an incomplete request head. The HTTP library has a
-/// single timer for the head and for the idle time between requests, which would apply the longer limit,
-/// fifteen seconds instead of three. A client may still be idle between requests for longer than the limit
-/// of the head.
+/// Guards against an incomplete request head that holds its connection for fifteen seconds instead of three,
+/// since the HTTP library has one timer for the head and for the idle time between requests. A client may
+/// still be idle between requests for longer than a head may take.
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_head() {
     const REQUEST: &str = "GET /plain/1 HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: rests\r\nX-Deadline-Ms: 1500\r\n\r\n";
@@ -298,8 +295,7 @@
     }
     let (ran, repeats) = world.truth.repeats();
     assert_eq!(ran - ran_before, 100);
-    // Nine in a hundred of the requests that ran, those of the fleet's start included, and the node's share
-    // of the slack.
+    // Nine in a hundred of the requests that ran, also at the fleet's start, and the node's share of the slack.
     let allowed = (100 + ran_before) / 10 + 5;
     let repeats = repeats - repeats_before;
     assert!(
