--- a/crates/rack/tests/system/faults.rs
+++ b/crates/rack/tests/system/faults.rs
@@ -11,8 +11,8 @@
 const START: Duration = Duration::from_secs(30);
 const SERVICES: [&str; 5] = ["keyed", "keyed", "keyed", "plain", "plain"];
 
-/// Without faults every host accepts every request: the owner of its key runs it once and is shutdown the
-/// calling service by the node, whatever the client's own header says.
+/// Without faults every host accepts every request: the owner of its key runs it once and gets the calling
+/// service's name from the node, not from the client's header.
 #[tokio::test(flavor = "multi_thread")]
 async fn without_faults() {
     let world = World::start(&SERVICES).await;
@@ -295,7 +295,7 @@
     }
     let (ran, repeats) = world.truth.repeats();
     assert_eq!(ran - ran_before, 100);
-    // Nine in a hundred of the requests that ran, also at the fleet's start, and the node's share of the slack.
+    // Nine in a hundred of what ran, also at the fleet's start, and the node's share of the slack.
     let allowed = (100 + ran_before) / 10 + 5;
     let repeats = repeats - repeats_before;
     assert!(
