--- a/crates/core/src/ids/fence.rs
+++ b/crates/core/src/ids/fence.rs
@@ -11,8 +11,8 @@
 use super::Sequence;
 use super::Term;
 
-/// Orders the grants of a slice and identifies each of them; it only ever rises, so that a backend
-/// server which remembers the highest one refuses every earlier holder.
+/// Orders the grants of a slice and identifies each of them; fences only increase, so that a
+/// backend server which remembers the highest one refuses every earlier holder.
 ///
 /// Written as `term.rank.sequence`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/core/src/ids/idempotency_key.rs
+++ b/crates/core/src/ids/idempotency_key.rs
@@ -1,8 +1,9 @@
-//! The identity of work that must not repeat.
+//! The identity of a request that must not run twice.
 
 use super::macros::uuid_id;
 
 uuid_id! {
-    /// Names work that runs at most once; version 7 UUIDs carry the time at which it was named.
+    /// Identifies a request that runs at most once; version 7 UUIDs contain the time of their
+    /// creation.
     IdempotencyKey
 }
--- a/crates/core/src/ids/incarnation.rs
+++ b/crates/core/src/ids/incarnation.rs
@@ -1,8 +1,8 @@
-//! One life of a process.
+//! One run of a process.
 
 use super::macros::number_id;
 
 number_id! {
-    /// Tells two lives of one process apart; a later life has a higher number.
+    /// Identifies one run of a process; a later run has a higher number.
     Incarnation, u64
 }
--- a/crates/core/src/ids/key_hash.rs
+++ b/crates/core/src/ids/key_hash.rs
@@ -7,7 +7,7 @@
 use super::macros::number_id;
 
 number_id! {
-    /// Places a key among the slices of its service.
+    /// Determines the slice of a key within its service.
     KeyHash, u64
 }
 
--- a/crates/core/src/ids/macros.rs
+++ b/crates/core/src/ids/macros.rs
@@ -1,4 +1,4 @@
-//! The shapes that all identifiers share.
+//! Macros that define the types of names, numbers and UUIDs.
 
 /// Defines a checked name: 1 to 63 characters of `a-z`, `0-9` and `-`, not starting or ending
 /// with `-`, so that a name can stand in a path, a header and a metric unescaped.
--- a/crates/core/tests/admission_bench/mod.rs
+++ b/crates/core/tests/admission_bench/mod.rs
@@ -1,4 +1,4 @@
-//! One backend server and its neighbour's admission, driven millisecond by millisecond.
+//! A simulated backend server and the admission of its node, advanced by the millisecond.
 
 #![allow(dead_code, clippy::unwrap_used)]
 
@@ -19,27 +19,28 @@
 use quetzalrack_core::traffic::admission::Ticket;
 use quetzalrack_core::traffic::refusal::RefusalCode;
 
-/// The slots of the backend server.
+/// The slots of the backend server while warm.
 pub const SLOTS: u32 = 18;
-/// How many it bears while cold.
-pub const COLD: u32 = 2;
+/// The slots of the backend server while cold.
+pub const COLD_SLOTS: u32 = 2;
 /// How long it takes to warm up.
 pub const WARM_UP: Duration = Duration::from_millis(500);
-/// How long an answer takes.
-pub const ANSWER: Duration = Duration::from_millis(5);
+/// How long the backend server works on a request.
+pub const SERVICE_TIME: Duration = Duration::from_millis(5);
 
-/// One backend server and its neighbour, driven millisecond by millisecond.
+/// A simulated backend server and the admission of its node, advanced by the millisecond.
 pub struct Bench {
     pub admission: Admission,
     pub now: Moment,
-    pub next: u64,
+    pub last_ticket: u64,
     pub running: VecDeque<(Ticket, Moment, AttemptOutcome)>,
     pub admitted: Vec<Ticket>,
     pub refused: Vec<(Ticket, RefusalCode)>,
-    /// How many at once are quick; more are ten times slower, three times as many are shed.
-    pub bears: u32,
-    pub slowness: u32,
-    pub most: u32,
+    /// The concurrent requests served at normal speed. Requests above it take ten times as long,
+    /// and those above three times it are shed.
+    pub capacity: u32,
+    pub slowdown: u32,
+    pub max_running: u32,
 }
 
 impl Bench {
@@ -47,24 +48,24 @@
         let mut bench = Self {
             admission: Admission::default(),
             now: Moment(1_000_000_000),
-            next: 0,
+            last_ticket: 0,
             running: VecDeque::new(),
             admitted: Vec::new(),
             refused: Vec::new(),
-            bears: u32::MAX,
-            slowness: 1,
-            most: 0,
+            capacity: u32::MAX,
+            slowdown: 1,
+            max_running: 0,
         };
         bench.announce(1, state);
         bench
     }
 
-    pub fn announce(&mut self, life: u64, state: ServerState) {
+    pub fn announce(&mut self, incarnation: u64, state: ServerState) {
         self.step(AdmissionEvent::ServerAnnounced(ServerProfile {
-            incarnation: Incarnation(life),
+            incarnation: Incarnation(incarnation),
             state,
             slots: SlotCount(SLOTS),
-            cold_slots: SlotCount(COLD),
+            cold_slots: SlotCount(COLD_SLOTS),
             warm_up: WARM_UP,
         }));
     }
@@ -72,33 +73,37 @@
     pub fn step(&mut self, event: AdmissionEvent) {
         for action in self.admission.step(self.now, event) {
             match action {
-                AdmissionAction::Admit(ticket) => self.begin(ticket),
+                AdmissionAction::Admit(ticket) => self.start(ticket),
                 AdmissionAction::Refuse(ticket, code) => self.refused.push((ticket, code)),
             }
         }
     }
 
-    pub fn begin(&mut self, ticket: Ticket) {
+    pub fn start(&mut self, ticket: Ticket) {
         self.admitted.push(ticket);
         let busy = self.running.len() as u32 + 1;
-        let (span, end) = match busy {
-            _ if busy > self.bears.saturating_mul(3) => {
+        let (duration, outcome) = match busy {
+            _ if busy > self.capacity.saturating_mul(3) => {
                 (Duration::from_micros(200), AttemptOutcome::Shed)
             }
-            _ if busy > self.bears => (ANSWER * 10, AttemptOutcome::Answered(ANSWER * 10)),
+            _ if busy > self.capacity => (
+                SERVICE_TIME * 10,
+                AttemptOutcome::Answered(SERVICE_TIME * 10),
+            ),
             _ => {
-                let span = ANSWER * self.slowness;
-                (span, AttemptOutcome::Answered(span))
+                let duration = SERVICE_TIME * self.slowdown;
+                (duration, AttemptOutcome::Answered(duration))
             }
         };
-        self.running.push_back((ticket, self.now + span, end));
-        self.most = self.most.max(busy);
+        self.running
+            .push_back((ticket, self.now + duration, outcome));
+        self.max_running = self.max_running.max(busy);
     }
 
-    pub fn arrive(&mut self, priority: Priority, patience: Duration) -> Ticket {
-        self.next += 1;
-        let ticket = Ticket(self.next);
-        let deadline = self.now + patience;
+    pub fn arrive(&mut self, priority: Priority, timeout: Duration) -> Ticket {
+        self.last_ticket += 1;
+        let ticket = Ticket(self.last_ticket);
+        let deadline = self.now + timeout;
         self.step(AdmissionEvent::Arrived(AdmissionRequest {
             ticket,
             route: "view".parse().unwrap(),
@@ -108,35 +113,32 @@
         ticket
     }
 
-    /// Lets a span pass with `each` arrivals of every priority a millisecond.
-    pub fn pass(&mut self, span: Duration, each: u32) {
+    /// Advances the time by `span`, with `arrivals` requests of high priority in each millisecond.
+    pub fn advance(&mut self, span: Duration, arrivals: u32) {
         let end = self.now + span;
         while self.now < end {
             self.now = self.now + Duration::from_millis(1);
             let (done, left) = self.running.drain(..).partition(|run| run.1 <= self.now);
             self.running = left;
             let done: VecDeque<_> = done;
-            for (ticket, _, end) in done {
-                self.step(AdmissionEvent::Ended {
-                    ticket,
-                    outcome: end,
-                });
+            for (ticket, _, outcome) in done {
+                self.step(AdmissionEvent::Ended { ticket, outcome });
             }
-            for _ in 0..each {
+            for _ in 0..arrivals {
                 self.arrive(Priority::High, Duration::from_millis(200));
             }
             self.step(AdmissionEvent::Tick);
         }
     }
 
-    /// Lets a span pass with `count` requests at the backend server or waiting at any time.
+    /// Advances the time by `span` and keeps `count` requests running or waiting.
     pub fn keep_busy(&mut self, span: Duration, count: usize) {
         let end = self.now + span;
         while self.now < end {
             while self.running.len() + self.admission.waiting() < count {
                 self.arrive(Priority::High, Duration::from_secs(2));
             }
-            self.pass(Duration::from_millis(1), 0);
+            self.advance(Duration::from_millis(1), 0);
         }
     }
 
--- a/crates/core/tests/cold_start.rs
+++ b/crates/core/tests/cold_start.rs
@@ -1,4 +1,4 @@
-//! A backend server in cold start gets no more work than it bears.
+//! A backend server in cold start gets no more requests than its cold slots.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,91 +10,90 @@
 use quetzalrack_core::traffic::admission::AdmissionEvent;
 
 use admission_bench::Bench;
-use admission_bench::COLD;
+use admission_bench::COLD_SLOTS;
 use admission_bench::SLOTS;
 
-/// A backend server starts cold and is offered twenty times what it bears. It never gets more than
-/// its cold bound until it has warmed up, then its limit grows to its slots.
+/// A backend server starts cold and is offered twenty times its capacity. It never gets more than
+/// its cold slots until it has warmed up; then its limit grows to its slots.
 #[test]
 fn cold_start() {
     let mut bench = Bench::new(ServerState::Cold);
-    bench.pass(Duration::from_millis(300), 5);
-    assert_eq!(bench.most, COLD);
+    bench.advance(Duration::from_millis(300), 5);
+    assert_eq!(bench.max_running, COLD_SLOTS);
     bench.announce(1, ServerState::Warm);
-    bench.pass(Duration::from_millis(150), 5);
+    bench.advance(Duration::from_millis(150), 5);
     assert_eq!(
-        bench.most, COLD,
-        "its word alone does not end the cold start"
+        bench.max_running, COLD_SLOTS,
+        "its announcement alone does not end the cold start"
     );
-    bench.pass(Duration::from_millis(400), 5);
+    bench.advance(Duration::from_millis(400), 5);
     assert_eq!(bench.limit(), SLOTS);
 }
 
-/// It restarts while warm: the new life starts at the cold bound, and what ran in the old life
-/// holds no slot any more.
+/// A backend server restarts while warm. The new incarnation starts with its cold slots, and
+/// requests of the old one no longer hold slots.
 #[test]
-fn new_life() {
+fn restarted_server() {
     let mut bench = Bench::new(ServerState::Warm);
-    bench.pass(Duration::from_millis(300), 5);
+    bench.advance(Duration::from_millis(300), 5);
     assert_eq!(bench.limit(), SLOTS);
     let old = bench.running.clone();
     bench.running.clear();
-    bench.most = 0;
+    bench.max_running = 0;
     bench.announce(2, ServerState::Cold);
-    assert_eq!(bench.limit(), COLD);
-    assert!(bench.admission.in_flight().0 <= COLD);
-    let (ticket, _, end) = old[0];
+    assert_eq!(bench.limit(), COLD_SLOTS);
+    assert!(bench.admission.in_flight().0 <= COLD_SLOTS);
+    let (ticket, _, outcome) = old[0];
     let before = bench.admission.in_flight();
-    bench.step(AdmissionEvent::Ended {
-        ticket,
-        outcome: end,
-    });
+    bench.step(AdmissionEvent::Ended { ticket, outcome });
     assert_eq!(
         bench.admission.in_flight(),
         before,
-        "an old life's end frees nothing"
+        "a request of the old incarnation frees no slot"
     );
 }
 
-/// It turns cold without a word and sheds above three times its bound. Its neighbour sees the
-/// first refusals and goes down to the cold bound within a few milliseconds.
+/// A backend server turns cold without announcing it and sheds requests above three times its cold
+/// slots. Its node sees the first refusals and lowers the limit to the cold slots within a few
+/// milliseconds.
 #[test]
 fn silent_cold_sheds() {
     let mut bench = Bench::new(ServerState::Warm);
-    bench.pass(Duration::from_millis(300), 5);
-    bench.bears = COLD;
-    bench.pass(Duration::from_millis(60), 5);
-    assert_eq!(bench.limit(), COLD);
+    bench.advance(Duration::from_millis(300), 5);
+    bench.capacity = COLD_SLOTS;
+    bench.advance(Duration::from_millis(60), 5);
+    assert_eq!(bench.limit(), COLD_SLOTS);
     assert_eq!(bench.admission.state(), ServerState::Cold);
-    bench.pass(Duration::from_millis(100), 5);
-    bench.most = 0;
-    bench.pass(Duration::from_millis(300), 5);
-    assert_eq!(bench.most, COLD);
+    bench.advance(Duration::from_millis(100), 5);
+    bench.max_running = 0;
+    bench.advance(Duration::from_millis(300), 5);
+    assert_eq!(bench.max_running, COLD_SLOTS);
 }
 
-/// It turns cold without a word under a load at which it is only slow, not shedding. The test at
-/// the cold bound finds it quick there, so it is cold and no straggler.
+/// A backend server turns cold without announcing it, under a load at which it is slow but sheds
+/// nothing. A trial with the limit at the cold slots finds it quick, so it is cold and not a
+/// straggler.
 #[test]
 fn silent_cold_slow() {
     let mut bench = Bench::new(ServerState::Warm);
-    bench.pass(Duration::from_millis(300), 5);
-    bench.pass(Duration::from_millis(100), 0);
+    bench.advance(Duration::from_millis(300), 5);
+    bench.advance(Duration::from_millis(100), 0);
     bench.keep_busy(Duration::from_millis(300), 5);
-    bench.bears = COLD;
+    bench.capacity = COLD_SLOTS;
     bench.keep_busy(Duration::from_millis(250), 5);
     assert_eq!(bench.admission.state(), ServerState::Cold);
-    assert_eq!(bench.limit(), COLD);
+    assert_eq!(bench.limit(), COLD_SLOTS);
 }
 
-/// A backend server comes back into service after it was out: it starts at its cold bound, and its
-/// answers let the limit grow.
+/// A backend server returns to service. Its limit starts at its cold slots and grows with its
+/// answers.
 #[test]
-fn slow_return() {
+fn return_to_service() {
     let mut bench = Bench::new(ServerState::Warm);
-    bench.pass(Duration::from_millis(300), 5);
-    bench.pass(Duration::from_millis(100), 0);
+    bench.advance(Duration::from_millis(300), 5);
+    bench.advance(Duration::from_millis(100), 0);
     bench.step(AdmissionEvent::ServerRestored);
-    assert_eq!(bench.limit(), COLD);
-    bench.pass(Duration::from_millis(300), 5);
+    assert_eq!(bench.limit(), COLD_SLOTS);
+    bench.advance(Duration::from_millis(300), 5);
     assert_eq!(bench.limit(), SLOTS);
 }
--- a/crates/core/tests/document_check.rs
+++ b/crates/core/tests/document_check.rs
@@ -1,4 +1,4 @@
-//! The checker finds everything wrong at once, each with its code and place, in three languages.
+//! The checker reports all problems at once, each with its code and place, in three languages.
 
 #![allow(clippy::unwrap_used)]
 
@@ -14,7 +14,7 @@
 use quetzalrack_core::document::check::missing_file;
 use quetzalrack_core::language::Language;
 
-/// Is a copy of an example, so that a change of the example moves no place here.
+/// A copy of an example, so that changing the example does not change the expected places.
 const ANDINA: &str = include_str!("data/andina.json");
 const EXAMPLES: [&str; 2] = [
     include_str!("../../../examples/andina.json"),
@@ -30,7 +30,7 @@
     report.problems.iter().map(|problem| problem.code).collect()
 }
 
-/// Is one change of a right document for every code that a small change can cause.
+/// Changes of a valid document, at least one for every code that a small change can cause.
 const CHANGES: [(ProblemCode, &str, &str); 29] = [
     (
         ProblemCode::UnknownField,
@@ -131,9 +131,9 @@
     (ProblemCode::FewSlices, "\"slices\": 16", "\"slices\": 3"),
 ];
 
-/// Lists one document for every code.
-fn faults() -> Vec<(ProblemCode, Vec<u8>)> {
-    let mut faults = vec![
+/// Returns invalid documents, at least one for every code but that of a missing file.
+fn invalid_documents() -> Vec<(ProblemCode, Vec<u8>)> {
+    let mut documents = vec![
         (ProblemCode::Empty, Vec::new()),
         (ProblemCode::TooLarge, vec![b'['; 10_000_000]),
         (ProblemCode::TooDeep, vec![b'['; MAX_DEPTH + 1]),
@@ -147,13 +147,13 @@
         ),
     ];
     let zones = vec!["\"suba\""; 65].join(", ");
-    faults.push((ProblemCode::TooMany, changed("\"suba\"", &zones)));
-    faults.extend(CHANGES.map(|(code, from, to)| (code, changed(from, to))));
-    faults
+    documents.push((ProblemCode::TooMany, changed("\"suba\"", &zones)));
+    documents.extend(CHANGES.map(|(code, from, to)| (code, changed(from, to))));
+    documents
 }
 
 #[test]
-fn right_documents() {
+fn valid_documents() {
     for text in EXAMPLES.into_iter().chain([ANDINA]) {
         let report = check(text.as_bytes());
         assert_eq!(report.problems, []);
@@ -167,7 +167,7 @@
     let missing = missing_file("andina.json", "os error 2");
     let mut seen = vec![missing.code];
     let mut text = String::new();
-    for (code, bytes) in faults() {
+    for (code, bytes) in invalid_documents() {
         let report = check(&bytes);
         let problem = report.problems.iter().find(|problem| problem.code == code);
         let problem = problem.unwrap_or_else(|| panic!("{code}: {:?}", report.problems));
@@ -190,9 +190,9 @@
 }
 
 #[test]
-fn one_fault() {
+fn single_problem() {
     // A single mistake must not be reported as several.
-    for (code, bytes) in faults() {
+    for (code, bytes) in invalid_documents() {
         let report = check(&bytes);
         let expected = match code {
             // The 65 equal zones are too many, and 64 of them repeat the first.
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn all_at_once() {
+fn several_problems() {
     let text = ANDINA
         .replacen("\"suba\"", "\"chapinero\"", 1)
         .replacen("\"lease_ms\"", "\"lease_s\"", 1)
@@ -286,7 +286,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..Default::default() })]
 
-    /// Whatever bytes are changed, there is a report, and an accepted document can be typed.
+    /// Any changed bytes give a report, and an accepted document can be deserialized.
     #[test]
     fn changed_bytes(changes in prop::collection::vec((0..ANDINA.len(), any::<u8>()), 1..8)) {
         let mut bytes = ANDINA.as_bytes().to_vec();
--- a/crates/core/tests/gate.rs
+++ b/crates/core/tests/gate.rs
@@ -1,4 +1,4 @@
-//! The gate lets no key run twice.
+//! The idempotency store runs no key twice.
 
 #![allow(clippy::unwrap_used, clippy::panic)]
 
@@ -58,49 +58,49 @@
     ChaCha8Rng::seed_from_u64(3)
 }
 
-fn ready(settings: IdempotencySettings) -> IdempotencyStore {
-    let mut gate = IdempotencyStore::new(settings);
-    gate.add_slice(WallTime(START), &slice(), fence(1), None);
-    gate
+fn store_with_slice(settings: IdempotencySettings) -> IdempotencyStore {
+    let mut store = IdempotencyStore::new(settings);
+    store.add_slice(WallTime(START), &slice(), fence(1), None);
+    store
 }
 
 #[test]
-fn whole_life() {
-    let mut gate = ready(IdempotencySettings::default());
+fn request_lifecycle() {
+    let mut store = store_with_slice(IdempotencySettings::default());
     let key = key(START + 5_000, &mut random());
     let now = WallTime(START + 5_010);
     let admit =
-        |gate: &mut IdempotencyStore, body| gate.admit(now, &slice(), fence(1), key, digest(body));
-    assert_eq!(admit(&mut gate, "a"), IdempotencyDecision::Run);
+        |s: &mut IdempotencyStore, body| s.admit(now, &slice(), fence(1), key, digest(body));
+    assert_eq!(admit(&mut store, "a"), IdempotencyDecision::Run);
     assert_eq!(
-        admit(&mut gate, "a"),
+        admit(&mut store, "a"),
         IdempotencyDecision::Refuse(RefusalCode::StillRunning)
     );
     assert_eq!(
-        admit(&mut gate, "b"),
+        admit(&mut store, "b"),
         IdempotencyDecision::Refuse(RefusalCode::KeyReused)
     );
-    gate.finish(
+    store.finish(
         &slice(),
         fence(1),
         key,
         ExecutionOutcome::Answered(answer(10)),
     );
     assert_eq!(
-        admit(&mut gate, "a"),
+        admit(&mut store, "a"),
         IdempotencyDecision::Replay(answer(10))
     );
     assert_eq!(
-        admit(&mut gate, "b"),
+        admit(&mut store, "b"),
         IdempotencyDecision::Refuse(RefusalCode::KeyReused)
     );
 }
 
 #[test]
-fn odd_keys() {
-    let mut gate = ready(IdempotencySettings::default());
+fn refused_keys() {
+    let mut store = store_with_slice(IdempotencySettings::default());
     let now = WallTime(START + 5_000);
-    let mut admit = |key| gate.admit(now, &slice(), fence(1), key, digest("a"));
+    let mut admit = |key| store.admit(now, &slice(), fence(1), key, digest("a"));
     let random_key = IdempotencyKey(Uuid::from_u128(0x1234_4000_8000 << 60));
     assert_eq!(
         admit(random_key),
@@ -120,42 +120,42 @@
 
 #[test]
 fn wrong_fence() {
-    let mut gate = ready(IdempotencySettings::default());
+    let mut store = store_with_slice(IdempotencySettings::default());
     let key = key(START + 5_000, &mut random());
     let now = WallTime(START + 5_000);
-    let decision = gate.admit(now, &slice(), fence(2), key, digest("a"));
+    let decision = store.admit(now, &slice(), fence(2), key, digest("a"));
     assert_eq!(decision, IdempotencyDecision::Refuse(RefusalCode::NotOwner));
 }
 
-/// The kept answers outgrow the memory, then the window passes: what was forgotten is refused as
-/// unknown, whichever key is asked for. None runs again.
+/// The stored responses exceed the memory limit, then the retention window ends. Keys whose
+/// response was dropped are refused with an unknown outcome, and none runs again.
 #[test]
 fn bounded_memory() {
     let settings = IdempotencySettings {
         memory_limit: 100_000,
         ..IdempotencySettings::default()
     };
-    let mut gate = ready(settings);
+    let mut store = store_with_slice(settings);
     let mut random = random();
     let mut keys = Vec::new();
     for n in 0..1_000 {
         let at = START + 5_000 + n * 10;
         let key = key(at, &mut random);
-        let decision = gate.admit(WallTime(at), &slice(), fence(1), key, digest("a"));
+        let decision = store.admit(WallTime(at), &slice(), fence(1), key, digest("a"));
         assert_eq!(decision, IdempotencyDecision::Run);
-        gate.finish(
+        store.finish(
             &slice(),
             fence(1),
             key,
             ExecutionOutcome::Answered(answer(1_000)),
         );
-        assert!(gate.size() < 102_000, "{}", gate.size());
+        assert!(store.size() < 102_000, "{}", store.size());
         keys.push(key);
     }
     let later = WallTime(START + 20_000);
     let mut unknown = 0;
     for key in &keys {
-        match gate.admit(later, &slice(), fence(1), *key, digest("a")) {
+        match store.admit(later, &slice(), fence(1), *key, digest("a")) {
             IdempotencyDecision::Replay(_) => {}
             IdempotencyDecision::Refuse(RefusalCode::OutcomeUnknown) => unknown += 1,
             other => panic!("{other:?}"),
@@ -163,56 +163,56 @@
     }
     assert!(unknown > 800 && unknown < 1_000, "{unknown}");
     let much_later = WallTime(START + 3_600_000);
-    let decision = gate.admit(much_later, &slice(), fence(1), keys[999], digest("a"));
+    let decision = store.admit(much_later, &slice(), fence(1), keys[999], digest("a"));
     assert_eq!(
         decision,
         IdempotencyDecision::Refuse(RefusalCode::OutcomeUnknown)
     );
-    assert_eq!(gate.size(), 0);
+    assert_eq!(store.size(), 0);
 }
 
 #[test]
 fn too_large() {
-    let mut gate = ready(IdempotencySettings::default());
+    let mut store = store_with_slice(IdempotencySettings::default());
     let key = key(START + 5_000, &mut random());
     let now = WallTime(START + 5_000);
-    gate.admit(now, &slice(), fence(1), key, digest("a"));
-    gate.finish(
+    store.admit(now, &slice(), fence(1), key, digest("a"));
+    store.finish(
         &slice(),
         fence(1),
         key,
         ExecutionOutcome::Answered(answer(100_000)),
     );
-    let decision = gate.admit(now, &slice(), fence(1), key, digest("a"));
+    let decision = store.admit(now, &slice(), fence(1), key, digest("a"));
     assert_eq!(
         decision,
         IdempotencyDecision::Refuse(RefusalCode::OutcomeNotKept)
     );
 }
 
-/// Plays one schedule: gates come and go, some hand their memory over and some are lost, their
-/// clocks differ by up to half a second and so do the callers'. Callers send every key several
-/// times. Returns how many keys ran, and how many of them twice.
-fn play(seed: u64, settings: IdempotencySettings) -> (usize, usize) {
+/// Runs one schedule: owners of the slice replace each other, some hand their state over and some
+/// are lost. Their clocks differ by up to half a second, and so do the callers'. Callers send every
+/// key several times. Returns how many keys ran, and how many of them twice.
+fn run_schedule(seed: u64, settings: IdempotencySettings) -> (usize, usize) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut runs = BTreeMap::<IdempotencyKey, u32>::new();
     let mut keys: Vec<IdempotencyKey> = Vec::new();
     let mut now = START;
     let mut sequence = 1;
     let mut skew = random.random_range(0..500);
-    let mut gate = IdempotencyStore::new(settings);
-    gate.add_slice(WallTime(now + skew), &slice(), fence(1), None);
+    let mut store = IdempotencyStore::new(settings);
+    store.add_slice(WallTime(now + skew), &slice(), fence(1), None);
     for _ in 0..400 {
         now += random.random_range(0..40);
         if random.random_bool(0.02) {
-            let memory = gate.remove_slice(&slice(), fence(sequence));
-            let handed = memory
+            let state = store.remove_slice(&slice(), fence(sequence));
+            let handed_over = state
                 .filter(|_| random.random_bool(0.5))
-                .map(|memory| IdempotencyState::decode(&memory.encode().unwrap()).unwrap());
+                .map(|state| IdempotencyState::decode(&state.encode().unwrap()).unwrap());
             sequence += 1;
             skew = random.random_range(0..500);
-            gate = IdempotencyStore::new(settings);
-            gate.add_slice(WallTime(now + skew), &slice(), fence(sequence), handed);
+            store = IdempotencyStore::new(settings);
+            store.add_slice(WallTime(now + skew), &slice(), fence(sequence), handed_over);
         }
         let key = match !keys.is_empty() && random.random_bool(0.6) {
             true => keys[random.random_range(0..keys.len())],
@@ -220,19 +220,19 @@
         };
         keys.push(key);
         let wall = WallTime(now + skew);
-        let decision = gate.admit(wall, &slice(), fence(sequence), key, digest("a"));
+        let decision = store.admit(wall, &slice(), fence(sequence), key, digest("a"));
         if decision != IdempotencyDecision::Run {
             continue;
         }
         *runs.entry(key).or_default() += 1;
-        let end = match random.random_range(0..4) {
+        let outcome = match random.random_range(0..4) {
             0 => ExecutionOutcome::Unknown,
             1 => ExecutionOutcome::Failed,
-            // Still running when the gate goes.
+            // Still running when the owner is replaced.
             2 => continue,
             _ => ExecutionOutcome::Answered(answer(10)),
         };
-        gate.finish(&slice(), fence(sequence), key, end);
+        store.finish(&slice(), fence(sequence), key, outcome);
     }
     let twice = runs.values().filter(|count| **count > 1).count();
     (runs.len(), twice)
@@ -241,60 +241,60 @@
 /// Over 300 schedules no key runs twice.
 #[test]
 fn never_twice() {
-    let played: Vec<_> = (0..300)
-        .map(|seed| play(seed, IdempotencySettings::default()))
+    let results: Vec<_> = (0..300)
+        .map(|seed| run_schedule(seed, IdempotencySettings::default()))
         .collect();
-    let ran: usize = played.iter().map(|played| played.0).sum();
+    let ran: usize = results.iter().map(|result| result.0).sum();
     assert!(ran > 10_000, "{ran}");
-    assert!(played.iter().all(|played| played.1 == 0), "{played:?}");
+    assert!(results.iter().all(|result| result.1 == 0), "{results:?}");
 }
 
-/// Without the allowance for the difference of two nodes' clocks the same schedules run keys twice,
-/// so they do reach what the allowance is for.
+/// Without the allowance for the drift between two nodes' clocks the same schedules run keys twice,
+/// which shows that they exercise the allowance.
 #[test]
-fn drift_matters() {
+fn without_drift_allowance() {
     let settings = IdempotencySettings {
         clock_drift: Duration::ZERO,
         ..IdempotencySettings::default()
     };
-    let twice: usize = (0..300).map(|seed| play(seed, settings).1).sum();
+    let twice: usize = (0..300).map(|seed| run_schedule(seed, settings).1).sum();
     assert!(twice > 0);
 }
 
-/// A handover that lasts: what was running is unknown to the new owner, and floor and answers are
-/// the old owner's.
+/// After a handover, requests that were running have an unknown outcome at the new owner, which
+/// takes the key floor and the stored responses from the old one.
 #[test]
-fn handed_over() {
-    let mut gate = ready(IdempotencySettings::default());
+fn state_handover() {
+    let mut store = store_with_slice(IdempotencySettings::default());
     let mut random = random();
     let now = WallTime(START + 5_000);
     let done = key(START + 5_000, &mut random);
     let running = key(START + 5_000, &mut random);
     for key in [done, running] {
-        gate.admit(now, &slice(), fence(1), key, digest("a"));
+        store.admit(now, &slice(), fence(1), key, digest("a"));
     }
-    gate.finish(
+    store.finish(
         &slice(),
         fence(1),
         done,
         ExecutionOutcome::Answered(answer(10)),
     );
-    let memory = gate
+    let state = store
         .remove_slice(&slice(), fence(1))
         .unwrap()
         .encode()
         .unwrap();
-    let mut next = IdempotencyStore::new(IdempotencySettings::default());
-    let memory = IdempotencyState::decode(&memory).unwrap();
-    next.add_slice(now, &slice(), fence(2), Some(memory));
-    let decision = next.admit(now, &slice(), fence(2), done, digest("a"));
+    let mut successor = IdempotencyStore::new(IdempotencySettings::default());
+    let state = IdempotencyState::decode(&state).unwrap();
+    successor.add_slice(now, &slice(), fence(2), Some(state));
+    let decision = successor.admit(now, &slice(), fence(2), done, digest("a"));
     assert_eq!(decision, IdempotencyDecision::Replay(answer(10)));
-    let decision = next.admit(now, &slice(), fence(2), running, digest("a"));
+    let decision = successor.admit(now, &slice(), fence(2), running, digest("a"));
     assert_eq!(
         decision,
         IdempotencyDecision::Refuse(RefusalCode::OutcomeUnknown)
     );
-    let fresh = next.admit(
+    let fresh = successor.admit(
         now,
         &slice(),
         fence(2),
--- a/crates/core/tests/intent_agreement.rs
+++ b/crates/core/tests/intent_agreement.rs
@@ -1,4 +1,4 @@
-//! Readers that missed records, met peers and read late snapshots in any order agree in the end.
+//! Readers that miss records, receive peers' snapshots and read late ones, in any order, converge.
 
 #![allow(clippy::unwrap_used)]
 
@@ -8,7 +8,7 @@
 
 use intent_support::MemoryLog;
 use intent_support::Reader;
-use intent_support::assert_same;
+use intent_support::assert_same_state;
 use intent_support::publish;
 use proptest::prelude::*;
 use quetzalrack_core::intent::IntentEvent;
@@ -19,17 +19,17 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// An operator publishes on the version that one reader has, which may be old.
+    /// An operator publishes on the version of one reader, which may be outdated.
     Publish { reader: usize, variant: u32 },
     /// A reader reads the log.
     Read { reader: usize },
-    /// A reader restarts with nothing.
+    /// A reader restarts without state.
     Restart { reader: usize },
-    /// A peer's snapshot arrives.
-    Meet { from: usize, to: usize },
-    /// A snapshot is written to the log, however late.
-    Copy { reader: usize },
-    /// The log forgets everything but its newest records.
+    /// One reader receives another's snapshot.
+    SendSnapshot { from: usize, to: usize },
+    /// A reader appends its snapshot, which may be outdated, to the log.
+    AppendSnapshot { reader: usize },
+    /// The log expires all but its newest records.
     Expire { kept: usize },
 }
 
@@ -40,8 +40,8 @@
             .prop_map(|(reader, variant)| Step::Publish { reader, variant }),
         4 => reader.clone().prop_map(|reader| Step::Read { reader }),
         1 => reader.clone().prop_map(|reader| Step::Restart { reader }),
-        2 => (reader.clone(), reader.clone()).prop_map(|(from, to)| Step::Meet { from, to }),
-        1 => reader.prop_map(|reader| Step::Copy { reader }),
+        2 => (reader.clone(), reader.clone()).prop_map(|(from, to)| Step::SendSnapshot { from, to }),
+        1 => reader.prop_map(|reader| Step::AppendSnapshot { reader }),
         1 => (0..4usize).prop_map(|kept| Step::Expire { kept }),
     ]
 }
@@ -50,17 +50,17 @@
     match *step {
         Step::Publish { reader, variant } => {
             let base = readers[reader].state.stage(Stage::Trial).version();
-            log.record(&publish(number, base.0, variant));
+            log.append_record(&publish(number, base.0, variant));
         }
         Step::Read { reader } => readers[reader].catch_up(log),
         Step::Restart { reader } => readers[reader] = Reader::open(Stage::Trial),
-        Step::Meet { from, to } => {
+        Step::SendSnapshot { from, to } => {
             let snapshot = readers[from].state.snapshot();
-            readers[to].take(snapshot);
+            readers[to].receive_snapshot(snapshot);
         }
-        Step::Copy { reader } => {
+        Step::AppendSnapshot { reader } => {
             if let Some(snapshot) = readers[reader].state.snapshot() {
-                log.record(&LogRecord::Copy(snapshot));
+                log.append_record(&LogRecord::Copy(snapshot));
             }
         }
         Step::Expire { kept } => {
@@ -69,18 +69,19 @@
     }
 }
 
-/// Lets every reader read, meet every other and, as controller, republish.
-fn settle(readers: &mut [Reader], log: &mut MemoryLog) {
+/// Lets every reader read the log, exchange snapshots with all others and, as controller,
+/// republish.
+fn converge(readers: &mut [Reader], log: &mut MemoryLog) {
     for reader in readers.iter_mut() {
         reader.step(IntentEvent::RepublishAllowed(true));
     }
     for _ in 0..6 {
         for index in 0..READERS {
             readers[index].catch_up(log);
-            readers[index].pass(Duration::from_secs(20), log);
+            readers[index].advance(Duration::from_secs(20), log);
             let snapshot = readers[index].state.snapshot();
             for other in readers.iter_mut() {
-                other.take(snapshot.clone());
+                other.receive_snapshot(snapshot.clone());
             }
         }
     }
@@ -99,11 +100,11 @@
         for (index, step) in steps.iter().enumerate() {
             run(step, index as u128 + 1, &mut readers, &mut log);
         }
-        settle(&mut readers, &mut log);
+        converge(&mut readers, &mut log);
         for reader in &readers {
             prop_assert!(reader.versions.windows(2).all(|pair| pair[0] < pair[1]));
-            assert_same(&readers[0].state, &reader.state);
-            // Where nobody knows anything any more, only an operator can go on.
+            assert_same_state(&readers[0].state, &reader.state);
+            // If no reader has any state left, only an operator's fresh start helps.
             let is_lost = reader.state.fresh_start().is_some();
             prop_assert!(reader.state.is_caught_up() || is_lost);
         }
--- a/crates/core/tests/intent_replay.rs
+++ b/crates/core/tests/intent_replay.rs
@@ -7,7 +7,7 @@
 use assert_matches::assert_matches;
 use intent_support::MemoryLog;
 use intent_support::Reader;
-use intent_support::assert_same;
+use intent_support::assert_same_state;
 use intent_support::digest;
 use intent_support::document;
 use intent_support::keys;
@@ -28,7 +28,7 @@
 fn read(stage: Stage, records: &[LogRecord]) -> Reader {
     let mut log = MemoryLog::default();
     for record in records {
-        log.record(record);
+        log.append_record(record);
     }
     let mut reader = Reader::open(stage);
     reader.catch_up(&log);
@@ -37,7 +37,7 @@
 
 fn rejections(reader: &Reader) -> Vec<&Rejection> {
     reader
-        .seen
+        .explained
         .iter()
         .filter_map(|happening| match happening {
             IntentHappening::OrderRejected { rejection, .. } => Some(rejection),
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn stages_apart() {
+fn independent_stages() {
     let reader = read(
         Stage::Production,
         &[publish(1, 0, 7), zone_out(2, 1, "suba")],
@@ -77,8 +77,8 @@
 
 #[test]
 fn wrong_base() {
-    // Two operators build on the same version. The log has Maria's record first; the other one's
-    // comes later, names a base that is taken, and every reader rejects it and names the winner.
+    // Two operators change the same version. Every reader rejects the record that comes later in
+    // the log, because its base is no longer current, and reports the winner.
     let records = [publish(1, 0, 1), publish(2, 1, 2), publish(3, 1, 3)];
     let reader = read(Stage::Trial, &records);
     assert_eq!(reader.state.in_force().unwrap().digest, digest(2));
@@ -90,9 +90,9 @@
 }
 
 #[test]
-fn doubled_record() {
-    // The answer to an append was lost and the record was appended again with the same id; the
-    // second one must neither count nor look like a lost race.
+fn duplicate_record() {
+    // The answer to an append is lost and the record is appended again with the same id. The second
+    // one must not count, nor be reported as a conflict with another operator.
     let records = [
         publish(1, 0, 1),
         zone_out(2, 1, "suba"),
@@ -106,20 +106,20 @@
 #[test]
 fn early_promotion() {
     // A promotion is rejected because trial has not accepted its document. Trial accepts it, then
-    // the promotion's second copy arrives: it must stay rejected, also for a reader that started
-    // from a snapshot between the two and never saw the first.
+    // the promotion is appended again: it must stay rejected, also for a reader that started from a
+    // snapshot between the two and never read the first.
     let mut log = MemoryLog::default();
     let mut early = Reader::open(Stage::Production);
     let mut late = Reader::open(Stage::Production);
-    log.record(&promote(1, 0, 7));
-    log.record(&publish(2, 0, 7));
+    log.append_record(&promote(1, 0, 7));
+    log.append_record(&publish(2, 0, 7));
     early.catch_up(&log);
-    late.take(early.state.snapshot());
-    log.record(&promote(1, 0, 7));
+    late.receive_snapshot(early.state.snapshot());
+    log.append_record(&promote(1, 0, 7));
     early.catch_up(&log);
     late.catch_up(&log);
     assert!(early.state.in_force().is_none());
-    assert_same(&early.state, &late.state);
+    assert_same_state(&early.state, &late.state);
 }
 
 #[test]
@@ -130,11 +130,11 @@
     let mut changed = signed(3, 1, Order::Publish { digest }, &keys(&["k1"]));
     changed.document = Some(document(3));
     let mut log = MemoryLog::default();
-    log.record(&publish(1, 0, 1));
+    log.append_record(&publish(1, 0, 1));
     log.append(b"{".to_vec());
     log.append(vec![0xff; 4]);
-    log.record(&LogRecord::Order(foreign));
-    log.record(&LogRecord::Order(changed));
+    log.append_record(&LogRecord::Order(foreign));
+    log.append_record(&LogRecord::Order(changed));
     let mut reader = Reader::open(Stage::Trial);
     reader.catch_up(&log);
     assert_eq!(reader.state.version(), Version(1));
@@ -153,7 +153,7 @@
 #[test]
 fn rollback_order() {
     let stage = Stage::Trial;
-    let back = Order::Rollback {
+    let rollback = Order::Rollback {
         stage,
         digest: digest(1),
     };
@@ -161,7 +161,7 @@
         publish(1, 0, 1),
         publish(2, 1, 2),
         zone_out(3, 2, "suba"),
-        order(4, 3, back),
+        order(4, 3, rollback),
     ];
     let in_force = read(stage, &records).state.in_force().unwrap();
     assert_eq!(in_force.version, Version(4));
@@ -171,22 +171,22 @@
 
 #[test]
 fn racing_operators() {
-    // Two operators race 200 times for the same version. Each round has exactly one winner, the
-    // loser learns which record beat it, and tries again on the new version; no order is lost.
+    // Two operators change the same version 200 times. Each round has exactly one winner; the loser
+    // learns which record won and retries on the new version. No order is lost.
     let mut log = MemoryLog::default();
     let mut reader = Reader::open(Stage::Trial);
-    log.record(&publish(1, 0, 0));
+    log.append_record(&publish(1, 0, 0));
     reader.catch_up(&log);
     for round in 0..200u128 {
         let base = reader.state.version();
         let zone = ["chapinero", "usaquen", "fontibon", "suba"][(round % 4) as usize];
         let (first, second) = (2 * round + 10, 2 * round + 11);
-        log.record(&zone_out(first, base.0, zone));
-        log.record(&publish(second, base.0, round as u32));
-        reader.seen.clear();
+        log.append_record(&zone_out(first, base.0, zone));
+        log.append_record(&publish(second, base.0, round as u32));
+        reader.explained.clear();
         reader.catch_up(&log);
         assert_matches!(
-            &reader.seen[..],
+            &reader.explained[..],
             [
                 IntentHappening::OrderAccepted { summary, .. },
                 IntentHappening::OrderRejected {
@@ -195,13 +195,13 @@
                 },
             ] if summary == winner.as_ref()
         );
-        log.record(&publish(second + 1_000, base.0 + 1, round as u32));
+        log.append_record(&publish(second + 1_000, base.0 + 1, round as u32));
         reader.catch_up(&log);
         assert_eq!(reader.state.version(), Version(base.0 + 2));
     }
     let mut other = Reader::open(Stage::Trial);
     other.catch_up(&log);
-    assert_same(&reader.state, &other.state);
+    assert_same_state(&reader.state, &other.state);
 }
 
 #[derive(Clone, Debug)]
@@ -221,7 +221,7 @@
     ]
 }
 
-fn record_of(step: &Step, number: u128, reader: &Reader, log: &MemoryLog) -> Vec<u8> {
+fn encode_record(step: &Step, number: u128, reader: &Reader, log: &MemoryLog) -> Vec<u8> {
     let trial = reader.state.stage(Stage::Trial).version().0;
     let production = reader.state.stage(Stage::Production).version().0;
     let record = match step {
@@ -249,26 +249,26 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, failure_persistence: None, ..Default::default() })]
 
-    /// Wherever a reader starts, from the log's beginning or from any snapshot, it ends with the
-    /// same intent, whatever was doubled, raced or wrong.
+    /// A reader reaches the same intent from the log's beginning and from any snapshot, whatever
+    /// duplicate, conflicting or invalid records the log has.
     #[test]
     fn equal_replay(steps in prop::collection::vec(any_step(), 1..40), start in 0..40usize) {
         let mut log = MemoryLog::default();
         let mut reader = Reader::open(Stage::Trial);
         let mut late = Reader::open(Stage::Trial);
         for (index, step) in steps.iter().enumerate() {
-            let data = record_of(step, index as u128 + 1, &reader, &log);
+            let data = encode_record(step, index as u128 + 1, &reader, &log);
             log.append(data);
             reader.catch_up(&log);
             if index == start {
-                late.take(reader.state.snapshot());
+                late.receive_snapshot(reader.state.snapshot());
             }
         }
         late.catch_up(&log);
-        let mut whole = Reader::open(Stage::Trial);
-        whole.catch_up(&log);
-        assert_same(&reader.state, &whole.state);
-        assert_same(&reader.state, &late.state);
+        let mut full = Reader::open(Stage::Trial);
+        full.catch_up(&log);
+        assert_same_state(&reader.state, &full.state);
+        assert_same_state(&reader.state, &late.state);
         prop_assert!(reader.versions.windows(2).all(|pair| pair[0] < pair[1]));
     }
 }
--- a/crates/core/tests/intent_support/mod.rs
+++ b/crates/core/tests/intent_support/mod.rs
@@ -1,4 +1,4 @@
-//! A log in memory, operators and readers for the tests of intent.
+//! An in-memory log, signed orders and readers for the tests of intent.
 
 #![allow(dead_code, clippy::unwrap_used)]
 
@@ -38,7 +38,7 @@
     KeyRing::open(&settings).unwrap()
 }
 
-/// Returns a document that differs from others by its number.
+/// Returns a document whose lease time makes it differ from those with other numbers.
 pub fn document(number: u32) -> String {
     ANDINA.replacen(
         "\"lease_ms\": 1200",
@@ -51,7 +51,7 @@
     DocumentDigest::of(document(number).as_bytes())
 }
 
-/// Is an append-only log that forgets old records on request.
+/// An append-only log that expires old records on request.
 #[derive(Default)]
 pub struct MemoryLog {
     pub entries: Vec<LogEntry>,
@@ -71,7 +71,7 @@
         offset
     }
 
-    pub fn record(&mut self, record: &LogRecord) -> Offset {
+    pub fn append_record(&mut self, record: &LogRecord) -> Offset {
         self.append(record.to_data().unwrap())
     }
 
@@ -79,7 +79,7 @@
         self.oldest = self.entries.len();
     }
 
-    pub fn event(&self, from: Offset) -> IntentEvent {
+    pub fn read_event(&self, from: Offset) -> IntentEvent {
         let from = from.0 as usize;
         if from < self.oldest {
             return IntentEvent::LogExpired(Offset(self.oldest as u64));
@@ -126,11 +126,11 @@
     order(number, base, Order::ZoneOut { stage, zone })
 }
 
-/// Is one reader with its own clock.
+/// A reader with its own clock.
 pub struct Reader {
     pub state: IntentState,
     pub now: Moment,
-    pub seen: Vec<IntentHappening>,
+    pub explained: Vec<IntentHappening>,
     pub versions: Vec<Version>,
 }
 
@@ -148,7 +148,7 @@
                 copy_every: Duration::from_secs(600),
             }),
             now: Moment::default(),
-            seen: Vec::new(),
+            explained: Vec::new(),
             versions: Vec::new(),
         }
     }
@@ -160,31 +160,31 @@
             match action {
                 IntentAction::InForce(in_force) => self.versions.push(in_force.version),
                 IntentAction::Append { data, .. } => appended.push(data),
-                IntentAction::Explain(happening) => self.seen.push(happening),
+                IntentAction::Explain(happening) => self.explained.push(happening),
             }
         }
         appended
     }
 
-    /// Reads until the reader asks for nothing more.
+    /// Reads until the reader needs no more records.
     pub fn catch_up(&mut self, log: &MemoryLog) {
         for _ in 0..10 {
             let from = self.state.next_offset();
-            self.step(log.event(from));
+            self.step(log.read_event(from));
             if self.state.next_offset() == from {
                 return;
             }
         }
     }
 
-    pub fn take(&mut self, snapshot: Option<IntentSnapshot>) {
+    pub fn receive_snapshot(&mut self, snapshot: Option<IntentSnapshot>) {
         if let Some(snapshot) = snapshot {
             self.step(IntentEvent::SnapshotReceived(Box::new(snapshot)));
         }
     }
 
-    /// Lets `span` pass on both clocks, and appends what the reader asks for.
-    pub fn pass(&mut self, span: Duration, log: &mut MemoryLog) {
+    /// Advances the clocks of the reader and the log by `span`, and appends the reader's records.
+    pub fn advance(&mut self, span: Duration, log: &mut MemoryLog) {
         self.now = self.now + span;
         log.wall = WallTime(log.wall.0 + span.as_millis() as u64);
         for data in self.step(IntentEvent::Tick { wall: log.wall }) {
@@ -193,8 +193,8 @@
     }
 }
 
-/// Asserts that two readers have the same in force in both stages.
-pub fn assert_same(one: &IntentState, other: &IntentState) {
+/// Asserts that two readers have the same state in both stages and the same intent in force.
+pub fn assert_same_state(one: &IntentState, other: &IntentState) {
     for stage in [Stage::Trial, Stage::Production] {
         assert_eq!(one.stage(stage), other.stage(stage));
     }
--- a/crates/core/tests/key_ring.rs
+++ b/crates/core/tests/key_ring.rs
@@ -39,11 +39,11 @@
 #[test]
 fn forged_message() {
     let ring = KeyRing::open(&[key("old", OLD_SECRET)]).unwrap();
-    let stranger = KeyRing::open(&[key("old", NEW_SECRET)]).unwrap();
+    let other_ring = KeyRing::open(&[key("old", NEW_SECRET)]).unwrap();
     let signature = ring.sign(b"zone out");
     assert!(ring.verify(b"zone out", &signature));
     assert!(!ring.verify(b"zone in", &signature));
-    assert!(!ring.verify(b"zone out", &stranger.sign(b"zone out")));
+    assert!(!ring.verify(b"zone out", &other_ring.sign(b"zone out")));
 }
 
 #[test]
--- a/crates/core/tests/route_counts.rs
+++ b/crates/core/tests/route_counts.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn endless_latency() {
+fn maximal_latency() {
     let mut counts = RouteCounts::default();
     counts.record(RequestOutcome::Late, Duration::MAX);
     assert_eq!(counts.latency.count(), 1);
--- a/crates/core/tests/routes.rs
+++ b/crates/core/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Requests find their routes.
+//! Matching requests to routes.
 
 #![allow(clippy::unwrap_used, clippy::panic)]
 
@@ -51,9 +51,9 @@
     assert_eq!(table().find(Method::Put, "/escrow/e7"), RouteMatch::NoRoute);
 }
 
-/// One key in two spellings must be one key, or two nodes would own it.
+/// Two encodings of one key must give the same key, or two nodes would own it.
 #[test]
-fn one_spelling() {
+fn equal_encodings() {
     let plain = found(Method::Get, "/listings/a-b");
     let encoded = found(Method::Get, "/listings/a%2Db");
     assert_eq!(plain.key, encoded.key);
--- a/crates/core/tests/second_attempts.rs
+++ b/crates/core/tests/second_attempts.rs
@@ -1,4 +1,4 @@
-//! Second attempts never feed an overload.
+//! Retries and hedges are bounded, so that they don't add to an overload.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 use quetzalrack_core::traffic::retry::HedgePolicy;
 use quetzalrack_core::traffic::retry::RetryBudget;
 
-/// Every one of 10,000 requests is refused and asks for a retry: only what was saved before the
-/// storm is spent.
+/// All of 10,000 requests are refused and ask for a retry: only the balance from before them is
+/// spent.
 #[test]
 fn retry_storm() {
     let mut budget = RetryBudget::default();
@@ -15,7 +15,7 @@
     assert!(granted <= 20, "{granted}");
 }
 
-/// Half of all requests fail and are retried: retries stay at a tenth of the answered ones.
+/// Half of all attempts fail and are retried: retries stay at a tenth of the answered requests.
 #[test]
 fn bounded_share() {
     let mut budget = RetryBudget::default();
@@ -28,14 +28,14 @@
     assert!(retries >= 900, "{retries}");
 }
 
-/// A hedge waits for the recent 95th percentile, and there is none while little is known.
+/// A hedge waits for the recent 95th percentile; without enough samples there is no hedge.
 #[test]
 fn hedge_wait() {
     let mut policy = HedgePolicy::default();
     let now = Moment(1_000_000_000);
     assert_eq!(policy.delay(), None);
-    for each in 1..=100 {
-        policy.record(now, Duration::from_millis(each));
+    for milliseconds in 1..=100 {
+        policy.record(now, Duration::from_millis(milliseconds));
     }
     assert_eq!(policy.delay(), Some(Duration::from_millis(95)));
 }
