--- a/crates/rack/tests/system/losses.rs
+++ b/crates/rack/tests/system/losses.rs
@@ -145,7 +145,7 @@
     tokio::time::sleep(Duration::from_secs(6)).await;
     world.store.set_unavailable(false);
     let recovery = world.wait_until_served(START).await;
-    println!("the leader, store unavailable: {recovery:?} after the store was back");
+    println!("the leader, store away: {recovery:?} after the store was back");
     assert!(recovery < MAX_RECOVERY, "{recovery:?}");
     assert_eq!(world.truth.violations(), Vec::<String>::new());
 }
