--- a/crates/core/tests/intent_agreement.rs
+++ b/crates/core/tests/intent_agreement.rs
@@ -40,7 +40,8 @@
             .prop_map(|(reader, variant)| Step::Publish { reader, variant }),
         4 => reader.clone().prop_map(|reader| Step::Read { reader }),
         1 => reader.clone().prop_map(|reader| Step::Restart { reader }),
-        2 => (reader.clone(), reader.clone()).prop_map(|(from, to)| Step::SendSnapshot { from, to }),
+        2 => (reader.clone(), reader.clone())
+            .prop_map(|(from, to)| Step::SendSnapshot { from, to }),
         1 => reader.prop_map(|reader| Step::AppendSnapshot { reader }),
         1 => (0..4usize).prop_map(|kept| Step::Expire { kept }),
     ]
