--- a/crates/core/tests/ownership/cuts.rs
+++ b/crates/core/tests/ownership/cuts.rs
@@ -1,4 +1,4 @@
-//! Networks that fall apart.
+//! Network partitions.
 
 use crate::support::Cluster;
 use crate::support::Layout;
@@ -12,7 +12,7 @@
 #[test]
 fn with_minority() {
     // The controller is cut off with one other node. It loses its majority and stands down; the
-    // rest gets a controller and every slice.
+    // other nodes get a new controller and all slices.
     for seed in 0..10 {
         let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
         cluster.run(6_000);
@@ -45,7 +45,8 @@
 
 #[test]
 fn with_majority() {
-    // The controller keeps a majority, so it goes on; the slices beyond the cut move to its side.
+    // The controller keeps a majority and stays in charge; the slices of the nodes that are cut off
+    // move to its side.
     for seed in 0..10 {
         let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
         cluster.run(6_000);
@@ -68,14 +69,14 @@
 
 #[test]
 fn from_log_only() {
-    // The controller reaches every node but not the log service. Granting needs no log: a lost
-    // holder's slices are served again.
+    // The controller reaches every node but not the log service. Granting does not need the log, so
+    // a failed holder's slices are served again.
     let mut cluster = Cluster::started(7, Layout::new(5, 1, 10));
     cluster.run(6_000);
     let controller = cluster.controller().unwrap();
     cluster.log_cuts.insert(controller);
     let holder = (0..5)
-        .find(|node| !cluster.line()[..2].contains(node))
+        .find(|node| !cluster.controllers()[..2].contains(node))
         .unwrap();
     cluster.kill(holder);
     cluster.run(2_000);
@@ -86,8 +87,8 @@
 
 #[test]
 fn even_split() {
-    // Four zones split two and two. The voters are an odd count, so one side has a majority and
-    // owns everything; the other side owns nothing.
+    // Four zones split two and two. The number of voters is odd, so one side has a majority and owns
+    // every slice; the other side owns none.
     for seed in 0..10 {
         let mut cluster = Cluster::started(seed, Layout::new(4, 4, 8));
         cluster.run(8_000);
@@ -105,18 +106,18 @@
 }
 
 #[test]
-fn deaf_deputy() {
-    // One direction of one link is cut: the first deputy does not hear the controller any more. It
-    // takes over, because it can't know better. The old controller's own leases end, since its
-    // heartbeats do not reach the new one; no other key is unserved.
+fn one_way_cut() {
+    // One direction of one link is cut: the first deputy receives nothing from the controller. It
+    // takes over, because it can't tell this from a failed controller. The old controller's own
+    // leases end, since its heartbeats do not reach the new one; every other key stays served.
     let mut cluster = Cluster::started(2, Layout::new(5, 1, 10));
     cluster.run(6_000);
-    let line = cluster.line();
+    let controllers = cluster.controllers();
     let before = cluster.owners();
-    cluster.cut(&[line[0]], &[line[1]], false);
+    cluster.cut(&[controllers[0]], &[controllers[1]], false);
     let gaps = cluster.longest_gaps(8_000);
     for (slice, gap) in gaps {
-        let touched = before[&slice] == Some(line[0]);
+        let touched = before[&slice] == Some(controllers[0]);
         assert!(gap == 0 || touched, "{slice} was unserved for {gap} ms");
     }
     assert_eq!(cluster.unserved().count(), 0);
@@ -124,18 +125,18 @@
 }
 
 #[test]
-fn lone_claimant() {
-    // A node reaches the log but no other node, and claims terms. The others have a controller that
-    // they hear, and go on: nothing is unserved but what the lone node held.
+fn isolated_claimant() {
+    // A node that reaches the log but no other node claims terms. The others receive messages from
+    // their controller and keep it, so only the isolated node's slices are unserved.
     for seed in 0..10 {
         let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
         cluster.run(6_000);
-        let lone = cluster.line()[seed as usize % 4 + 1];
-        let rest = others(&cluster, &[lone]);
+        let isolated = cluster.controllers()[seed as usize % 4 + 1];
+        let rest = others(&cluster, &[isolated]);
         let before = cluster.owners();
-        cluster.cut(&[lone], &rest, true);
+        cluster.cut(&[isolated], &rest, true);
         for (slice, gap) in cluster.longest_gaps(30_000) {
-            let touched = before[&slice] == Some(lone);
+            let touched = before[&slice] == Some(isolated);
             assert!(gap == 0 || touched, "seed {seed}: {slice} for {gap} ms");
         }
         cluster.cuts.clear();
@@ -145,24 +146,24 @@
                 .owners()
                 .values()
                 .flatten()
-                .any(|node| *node == lone)
+                .any(|node| *node == isolated)
         );
         cluster.checker.assert_clean();
     }
 }
 
 #[test]
-fn deaf_to_all() {
-    // A node hears nobody but is heard: first a holder, then the controller. It takes everybody for
-    // silent. If it took a rank or a term, all would follow it, it would never hear a majority, and
-    // no slice would have an owner for as long as it stays deaf.
+fn receives_nothing() {
+    // A node receives no messages, but its own arrive: once the controller and once the first
+    // deputy. All other nodes look failed to it. If it took over a rank or a term, all would follow
+    // it, it would never receive a majority, and no slice would have an owner until the cut ends.
     for seed in 0..10 {
         for rank in 0..2 {
             let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
             cluster.run(6_000);
-            let deaf = cluster.line()[rank];
-            let rest = others(&cluster, &[deaf]);
-            cluster.cut(&rest, &[deaf], false);
+            let receiver = cluster.controllers()[rank];
+            let rest = others(&cluster, &[receiver]);
+            cluster.cut(&rest, &[receiver], false);
             cluster.run(15_000);
             let unserved = cluster.unserved().count();
             assert_eq!(unserved, 0, "seed {seed}, rank {rank}");
--- a/crates/core/tests/ownership/retention.rs
+++ b/crates/core/tests/ownership/retention.rs
@@ -4,15 +4,15 @@
 use crate::support::Layout;
 
 #[test]
-fn sleeping_node() {
-    // A node sleeps while retention passes its offset. It reads on from the oldest record, learns
-    // the term from the controller or a checkpoint, and never starts a term of its own.
+fn paused_node() {
+    // A node is paused until the records at its offset have expired. It continues at the oldest
+    // record, learns the term from the controller or a checkpoint, and claims no term of its own.
     for seed in 0..5 {
         let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
         cluster.run(6_000);
-        let sleeper = cluster.line()[4];
+        let paused = cluster.controllers()[4];
         let controller = cluster.controller();
-        cluster.pause(sleeper, 40_000);
+        cluster.pause(paused, 40_000);
         cluster.run(5_000);
         cluster.log.expire_all();
         cluster.run(60_000);
@@ -22,16 +22,16 @@
                 .owners()
                 .values()
                 .flatten()
-                .any(|node| *node == sleeper)
+                .any(|node| *node == paused)
         );
         cluster.checker.assert_clean();
     }
 }
 
 #[test]
-fn expired_fleet() {
-    // Every host is replaced after everything in the log has expired. The first claim numbers its
-    // term after the offset, above every earlier one, so fences go on rising.
+fn expired_log() {
+    // Every host is replaced after all records in the log have expired. The first claim derives its
+    // term from the offset, above every earlier term, so fences keep increasing.
     let mut cluster = Cluster::started(3, Layout::new(4, 1, 8));
     cluster.run(8_000);
     for node in 0..4 {
@@ -49,13 +49,13 @@
 
 #[test]
 fn emptied_log() {
-    // Everything in the log expires during an outage. When the log is back, a node that reaches
-    // nobody else reads it. The living controller repeats its term at once, so the newcomer's claim
+    // All records in the log expire during an outage. After it a node that reaches no other node
+    // reads the log. The running controller writes its term again at once, so the new node's claim
     // follows that term and needs its voters; alone it can't become a second controller.
     for seed in 0..10 {
         let mut cluster = Cluster::started(seed, Layout::new(5, 1, 10));
         cluster.run(6_000);
-        let newcomer = cluster.line()[4];
+        let newcomer = cluster.controllers()[4];
         cluster.kill(newcomer);
         cluster.run(4_000);
         cluster.log.down = true;
--- a/crates/core/tests/ownership/support/checker.rs
+++ b/crates/core/tests/ownership/support/checker.rs
@@ -1,4 +1,4 @@
-//! The checker at the fake backend servers.
+//! Checks that no slice has two owners and that fences increase.
 
 use std::collections::BTreeMap;
 
@@ -7,22 +7,22 @@
 
 use super::FakeNode;
 
-/// Looks at what each node's traffic threads would send, by their own lease and their own clock;
-/// it knows nothing of any controller's books.
+/// Checks what each node's traffic threads would send, by the node's own leases and clock; it uses
+/// no controller's state.
 #[derive(Debug, Default)]
 pub struct Checker {
-    /// Times at which two nodes could have sent work of one slice.
+    /// Describes each case in which two nodes could have sent requests of one slice.
     pub double_owners: Vec<String>,
-    /// Grants whose fence was not above every earlier one of the slice.
-    pub fallen_fences: Vec<String>,
+    /// Describes each grant whose fence was not above every earlier one of the slice.
+    pub stale_fences: Vec<String>,
     pub grants: u64,
     highest: BTreeMap<SliceId, Fence>,
 }
 
 impl Checker {
-    /// Compares one node's leases with those of all others. Ownership begins only with a published
-    /// table or at the end of a pause, so it is enough to look then.
-    pub fn look(&mut self, now: u64, nodes: &[FakeNode], at: usize) {
+    /// Compares one node's leases with those of all others. Ownership begins only when a table is
+    /// published or a pause ends, so calls at these times suffice.
+    pub fn check_node(&mut self, now: u64, nodes: &[FakeNode], at: usize) {
         let node = &nodes[at];
         if !node.is_running(now) {
             return;
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Takes a grant that a backend server accepted.
-    pub fn grant(&mut self, slice: &SliceId, fence: Fence) {
+    /// Records a grant that a backend server accepted.
+    pub fn record_grant(&mut self, slice: &SliceId, fence: Fence) {
         self.grants += 1;
         let highest = self.highest.entry(slice.clone()).or_default();
         if *highest >= fence {
-            self.fallen_fences
+            self.stale_fences
                 .push(format!("{slice}: {fence} after {highest}"));
         }
         *highest = fence.max(*highest);
@@ -65,6 +65,6 @@
 
     pub fn assert_clean(&self) {
         assert_eq!(self.double_owners, Vec::<String>::new());
-        assert_eq!(self.fallen_fences, Vec::<String>::new());
+        assert_eq!(self.stale_fences, Vec::<String>::new());
     }
 }
--- a/crates/core/tests/ownership/support/cluster_faults.rs
+++ b/crates/core/tests/ownership/support/cluster_faults.rs
@@ -1,4 +1,4 @@
-//! What a test does to the fakes.
+//! Faults and load that a test causes.
 
 use quetzalrack_core::cluster::ServerState;
 use quetzalrack_core::ids::SliceId;
@@ -14,18 +14,18 @@
 use super::Delivery;
 use super::FakeNode;
 use super::Faults;
-use super::cluster::MILLISECOND;
+use super::cluster::NANOS_PER_MS;
 
-const TICK: u64 = 40 * MILLISECOND;
+const TICK_NS: u64 = 40 * NANOS_PER_MS;
 
 impl Cluster {
-    /// Starts a new life of a node.
+    /// Starts a new incarnation of a node.
     pub fn start(&mut self, at: usize) {
         let node = &mut self.nodes[at];
         node.incarnation += 1;
         node.finished = false;
         node.paused_until = 0;
-        node.held.clear();
+        node.deferred.clear();
         node.next_offset = 0;
         node.leases = Default::default();
         node.routing = Default::default();
@@ -35,26 +35,26 @@
         config.peers = (0..self.layout.nodes()).map(FakeNode::address).collect();
         node.machine = Some(Ownership::open(config));
         self.step(at, OwnershipEvent::IntentChanged(self.layout.in_force()));
-        let phase = self.rng.random_range(0..TICK);
-        self.plan(phase, at, Delivery::Tick);
-        self.plan(phase / 2, at, Delivery::Poll);
-        self.plan(phase / 3, at, Delivery::Announce);
+        let phase = self.rng.random_range(0..TICK_NS);
+        self.schedule(phase, at, Delivery::Tick);
+        self.schedule(phase / 2, at, Delivery::Poll);
+        self.schedule(phase / 3, at, Delivery::Announce);
     }
 
-    /// Ends a node's life without a word.
+    /// Ends a node's process without a shutdown.
     pub fn kill(&mut self, at: usize) {
         self.nodes[at].machine = None;
         self.nodes[at].leases = Default::default();
     }
 
-    /// Stops a node, its traffic threads with it, for a while.
+    /// Pauses a node with its traffic threads.
     pub fn pause(&mut self, at: usize, span_ms: u64) {
-        let until = self.now + span_ms * MILLISECOND;
+        let until = self.now + span_ms * NANOS_PER_MS;
         self.nodes[at].paused_until = self.nodes[at].paused_until.max(until);
-        self.plan(span_ms * MILLISECOND, at, Delivery::Thaw);
+        self.schedule(span_ms * NANOS_PER_MS, at, Delivery::Resume);
     }
 
-    /// Cuts or heals every message between two groups.
+    /// Drops every message from one group to another, or both ways, until the cuts are cleared.
     pub fn cut(&mut self, from: &[usize], to: &[usize], both_ways: bool) {
         for a in from {
             for b in to {
@@ -75,20 +75,20 @@
         }
     }
 
-    /// Silences the backend server beside a node, or lets it come back.
-    pub fn lose_server(&mut self, at: usize) {
+    /// Stops the backend server beside a node, or starts it again.
+    pub fn toggle_server(&mut self, at: usize) {
         self.nodes[at].has_server = !self.nodes[at].has_server;
         if !self.nodes[at].has_server {
             self.step(at, OwnershipEvent::ServerLost);
         }
     }
 
-    /// Lets every node's traffic threads report about `rate` requests per second a slice, unevenly.
+    /// Lets every node's traffic threads report `rate` requests per second a slice, within a fifth.
     pub fn measure_traffic(&mut self, rate: f32) {
         self.measure_uneven(|_| rate);
     }
 
-    /// Lets every node's traffic threads report requests per second by slice, give or take a fifth.
+    /// Lets every node's traffic threads report requests per second by slice, within a fifth.
     pub fn measure_uneven(&mut self, rate: impl Fn(&SliceId) -> f32) {
         for at in 0..self.nodes.len() {
             let slices: Vec<SliceId> = self.nodes[at].leases.leases.keys().cloned().collect();
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Ends every fault and starts what is down.
-    pub fn mend(&mut self) {
+    /// Ends every fault and starts the servers and nodes that are down.
+    pub fn repair(&mut self) {
         self.faults = Faults::none();
         self.cuts.clear();
         self.log.down = false;
--- a/crates/core/tests/ownership/support/cluster_view.rs
+++ b/crates/core/tests/ownership/support/cluster_view.rs
@@ -1,4 +1,4 @@
-//! What a test sees of the fakes.
+//! What a test reads from a cluster.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,14 +13,14 @@
 use super::Cluster;
 use super::Delivery;
 use super::FakeNode;
-use super::cluster::MILLISECOND;
+use super::cluster::NANOS_PER_MS;
 
 impl Cluster {
     /// Runs until every slice has a holder, and returns how long that took in milliseconds.
     pub fn run_until_served(&mut self, limit_ms: u64) -> u64 {
         let begin = self.now;
         while self.unserved().next().is_some() {
-            let spent = (self.now - begin) / MILLISECOND;
+            let spent = (self.now - begin) / NANOS_PER_MS;
             assert!(
                 spent < limit_ms,
                 "still unserved: {:?}",
@@ -28,7 +28,7 @@
             );
             self.run(5);
         }
-        (self.now - begin) / MILLISECOND
+        (self.now - begin) / NANOS_PER_MS
     }
 
     /// Runs for a span and returns the longest time that each slice had no holder, in
@@ -53,7 +53,7 @@
             .collect()
     }
 
-    /// Returns the numbers of slices by which nodes divide the keys of the first service.
+    /// Returns the slice counts that the nodes' routing tables have for the first service.
     pub fn divisions(&self) -> BTreeSet<u32> {
         let service: ServiceName = "service-0".parse().unwrap();
         let counts = self.nodes.iter().filter_map(|node| {
@@ -71,7 +71,7 @@
         unserved.cloned()
     }
 
-    /// Returns the node that could send work of a slice now.
+    /// Returns the node that could send requests of a slice now.
     pub fn owner(&self, slice: &SliceId) -> Option<usize> {
         let owns = |node: &&FakeNode| {
             let lease = node.leases.leases.get(slice);
@@ -86,7 +86,7 @@
         self.slices.iter().map(owned).collect()
     }
 
-    /// Returns the node that was last established as controller, and still lives.
+    /// Returns the node that was last established as controller, if it still runs.
     pub fn controller(&self) -> Option<usize> {
         let established = self.history.iter().rev().find_map(|(_, at, happening)| {
             matches!(happening, Happening::ControllerEstablished { .. }).then_some(*at)
@@ -94,8 +94,8 @@
         established.filter(|at| self.nodes[*at].machine.is_some())
     }
 
-    /// Tells whether an answer to a node's probe is on its way.
-    pub fn is_echo_underway(&self, to: usize) -> bool {
+    /// Tells whether an answer to a node's probe is in flight.
+    pub fn is_echo_in_flight(&self, to: usize) -> bool {
         self.queue.values().any(|(at, _, delivery)| {
             let Delivery::Message { message, .. } = delivery else {
                 return false;
@@ -104,7 +104,8 @@
         })
     }
 
-    /// Returns which running nodes are not in service by the table of which running node.
+    /// Returns pairs of running nodes of which the first one's routing table does not have the second
+    /// in service.
     pub fn unlisted(&self) -> Vec<(usize, usize)> {
         let running = || self.nodes.iter().filter(|node| node.is_running(self.now));
         let pairs = running().flat_map(|one| running().map(move |other| (one, other)));
@@ -120,7 +121,7 @@
     }
 
     /// Returns the controller that a node adopted last.
-    pub fn followed_by(&self, node: usize) -> usize {
+    pub fn followed_controller(&self, node: usize) -> usize {
         let adopted = self
             .history
             .iter()
@@ -133,8 +134,8 @@
         name.trim_start_matches("node-").parse().unwrap()
     }
 
-    /// Returns the deputies of the term in force, in order, the controller first.
-    pub fn line(&self) -> Vec<usize> {
+    /// Returns the controller and its deputies in the newest term, in order of rank.
+    pub fn controllers(&self) -> Vec<usize> {
         let claims = self.log.entries.iter().filter_map(|entry| {
             let record: ControlRecord = serde_json::from_slice(&entry.data).unwrap();
             match record.body {
@@ -142,7 +143,7 @@
                 _ => None,
             }
         });
-        // Of two claims of one term the first wins.
+        // The first claim of a term wins; `max_by_key` returns the last, so the order is reversed.
         let newest = claims.rev().max_by_key(|claim| claim.term).unwrap();
         let number = |address: std::net::SocketAddr| usize::from(address.port()) - 10_000;
         newest
--- a/crates/core/tests/ownership/support/faults.rs
+++ b/crates/core/tests/ownership/support/faults.rs
@@ -1,14 +1,14 @@
-//! What the network does to messages.
+//! Faults of the network and of the log.
 
-/// States the chance of each fault of a message, in percent, and its delays in microseconds.
+/// Sets the probability of each fault of a message, in percent, and the delays of messages.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     pub lost: u32,
-    pub doubled: u32,
+    pub duplicated: u32,
     pub late: u32,
     pub delay_us: u64,
     pub late_us: u64,
-    /// The chance that an append's answer is lost, in percent.
+    /// Probability that an append's answer is lost, in percent.
     pub answer_lost: u32,
 }
 
@@ -17,7 +17,7 @@
     pub fn none() -> Self {
         Self {
             lost: 0,
-            doubled: 0,
+            duplicated: 0,
             late: 0,
             delay_us: 500,
             late_us: 0,
--- a/crates/rack/tests/soak/fleet.rs
+++ b/crates/rack/tests/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! Hosts whose every connection goes through a proxy.
+//! Hosts with a proxy on every connection.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -19,12 +19,12 @@
 use tempfile::TempDir;
 
 use crate::clients::Clients;
-use crate::clients::Entrance;
+use crate::clients::HostEndpoint;
 use crate::script;
+use crate::script::Fault;
 use crate::script::Link;
 use crate::script::LinkFault;
-use crate::script::StoreTrouble;
-use crate::script::Trouble;
+use crate::script::StoreFaultKind;
 use crate::support::Lines;
 use crate::support::NodeProcess;
 use crate::support::ServerPlan;
@@ -35,22 +35,20 @@
 use crate::support::config;
 use crate::support::settings;
 
-/// How many clients there are.
-const CLIENTS: u64 = 24;
-/// The work of a request.
-const WORK: Duration = Duration::from_millis(20);
-/// How long a fleet may take to start, and to serve everything again after the last fault: founding
-/// a leadership anew when the recorded majority is gone takes 20 s at most.
-const SETTLED: Duration = Duration::from_secs(25);
-/// How long nothing more may reach a server that has left or whose zone is emptied.
-const DRAIN: Duration = Duration::from_millis(2_500);
-/// How long a process may take to end that is told to leave: the grace time of its settings, and a
-/// moment for the busy machine.
-const ENDS: Duration = Duration::from_millis(7_500);
-/// Keys that are asked for to know whether all are served.
-const SAMPLE: [u16; 8] = [0, 9_000, 18_000, 27_000, 36_000, 45_000, 54_000, 65_535];
+const CLIENT_COUNT: u64 = 24;
+/// Service time of a request.
+const SERVICE_TIME: Duration = Duration::from_millis(20);
+/// Time limit for serving everything after the start and after the last fault: establishing a new
+/// leadership when the recorded majority is gone takes 20 s at most.
+const SERVED_TIMEOUT: Duration = Duration::from_secs(25);
+/// Time after which no request may reach a server whose drain was acknowledged.
+const DRAIN_TIME: Duration = Duration::from_millis(2_500);
+/// Time limit for a process to exit after SIGTERM: the grace time of its settings, and a margin for
+/// the busy machine.
+const EXIT_TIMEOUT: Duration = Duration::from_millis(7_500);
+/// Sample of keys that is requested to check whether all keys are served.
+const SAMPLE_KEYS: [u16; 8] = [0, 9_000, 18_000, 27_000, 36_000, 45_000, 54_000, 65_535];
 
-/// Is one host.
 pub(super) struct Host {
     server: StandInServer,
     settings: PathBuf,
@@ -60,68 +58,68 @@
     streams: Vec<(Link, StreamProxy)>,
     datagrams: DatagramProxy,
     disturbed: Arc<Mutex<Instant>>,
-    lost: Arc<AtomicBool>,
+    removed: Arc<AtomicBool>,
 }
 
-/// Is a fleet under test.
+/// A fleet under test.
 pub struct Fleet {
     pub(super) seed: u64,
     store: StandInStore,
     truth: Arc<Truth>,
     pub(super) hosts: Vec<Host>,
-    entrances: Vec<Entrance>,
+    endpoints: Vec<HostEndpoint>,
     version: u64,
-    lives: u32,
+    incarnations: u32,
     _folder: TempDir,
 }
 
-/// Is something that is to be undone or looked at later.
-enum Later {
-    Start(usize),
-    Continue(usize),
-    /// The process that is to end, and since when it was told.
+/// A step that ends a fault or follows it up.
+enum Recovery {
+    StartNode(usize),
+    Resume(usize),
+    /// Index, process id and when SIGTERM was sent.
     StartOnceEnded(usize, u32, Instant),
-    Reborn(usize),
-    Replace(usize, String),
-    Answers(usize),
-    Fast(usize),
-    Heal(usize, Link),
-    StoreHeals,
-    Return(usize),
+    RestartServer(usize),
+    ReplaceServer(usize, String),
+    DeliverResponses(usize),
+    ResetSpeed(usize),
+    ClearLinkFault(usize, Link),
+    ClearStoreFaults,
+    EndEvacuation(usize),
 }
 
 impl Fleet {
-    /// Starts a fleet and waits until everything is served.
+    /// Starts a fleet.
     pub async fn start(seed: u64, hosts: usize) -> Self {
         let folder = tempfile::tempdir().unwrap();
-        let net = format!("127.{}.{}", 1 + std::process::id() % 250, 100 + seed % 100);
-        let (store, store_address) = StandInStore::bind(&format!("{net}.250")).await;
+        let subnet = format!("127.{}.{}", 1 + std::process::id() % 250, 100 + seed % 100);
+        let (store, store_address) = StandInStore::bind(&format!("{subnet}.250")).await;
         store.write("config", &config(1, 1_000));
         let mut fleet = Self {
             seed,
             store,
             truth: Arc::default(),
             hosts: Vec::new(),
-            entrances: Vec::new(),
+            endpoints: Vec::new(),
             version: 1,
-            lives: 0,
+            incarnations: 0,
             _folder: folder,
         };
-        for place in 0..hosts {
-            let ip = format!("{net}.{}", place + 1);
-            fleet.add_host(&ip, place, store_address).await;
+        for index in 0..hosts {
+            let ip = format!("{subnet}.{}", index + 1);
+            fleet.add_host(&ip, index, store_address).await;
         }
-        for place in 0..hosts {
-            fleet.start_node(place);
+        for index in 0..hosts {
+            fleet.start_node(index);
         }
         fleet
     }
 
-    async fn add_host(&mut self, ip: &str, place: usize, store: SocketAddr) {
+    async fn add_host(&mut self, ip: &str, index: usize, store: SocketAddr) {
         let port = |port| SocketAddr::new(ip.parse().unwrap(), port);
         let [clients, readiness, control, peers] = [8_304, 8_302, 8_306, 7_640].map(port);
         let (server, advertised) = (port(8_301), port(7_620));
-        let seed = self.seed << 8 ^ place as u64;
+        let seed = self.seed << 8 ^ index as u64;
         let bind = async |target| StreamProxy::bind(target, seed).await.unwrap();
         let streams = vec![
             (Link::Clients, bind(clients).await),
@@ -141,39 +139,39 @@
                 .1
                 .address()
         };
-        let service = if place.is_multiple_of(2) {
+        let service = if index.is_multiple_of(2) {
             "keyed"
         } else {
             "plain"
         };
         let text = settings(
             ip,
-            place,
+            index,
             service,
             at(Link::Store),
             [clients, readiness, control, at(Link::Server)],
             1_000.0,
         );
-        let path = self._folder.path().join(format!("settings-{place}.toml"));
+        let path = self._folder.path().join(format!("settings-{index}.toml"));
         fs::write(&path, text).unwrap();
         let plan = ServerPlan {
-            id: format!("server-{place}"),
+            id: format!("server-{index}"),
             service: service.to_owned(),
             keyed: service == "keyed",
-            listens: server,
-            told: at(Link::Server),
+            listen: server,
+            advertised: at(Link::Server),
             control: at(Link::Heartbeats),
         };
         let server = StandInServer::spawn(plan, Arc::clone(&self.truth)).await;
         server.set_echo();
-        server.set_work(WORK);
+        server.set_service_time(SERVICE_TIME);
         let disturbed = Arc::new(Mutex::new(Instant::now()));
-        let lost = Arc::new(AtomicBool::new(false));
-        self.entrances.push(Entrance {
+        let removed = Arc::new(AtomicBool::new(false));
+        self.endpoints.push(HostEndpoint {
             service: service.to_owned(),
             address: at(Link::Clients),
             disturbed: Arc::clone(&disturbed),
-            lost: Arc::clone(&lost),
+            removed: Arc::clone(&removed),
         });
         self.hosts.push(Host {
             server,
@@ -186,60 +184,63 @@
                 .await
                 .unwrap(),
             disturbed,
-            lost,
+            removed,
         });
     }
 
-    /// Plays the script of the seed and returns the promises that were broken.
-    pub async fn play(&mut self) -> Vec<String> {
-        let clients = Clients::new(self.seed, self.entrances.clone(), Arc::clone(&self.truth));
-        self.settle(&clients, "after the start").await;
-        let running = (0..CLIENTS).map(|number| tokio::spawn(Arc::clone(&clients).run(number)));
+    /// Runs the script of the seed and returns the violated guarantees.
+    pub async fn run(&mut self) -> Vec<String> {
+        let clients = Clients::new(self.seed, self.endpoints.clone(), Arc::clone(&self.truth));
+        self.wait_until_served(&clients, "after the start").await;
+        let running =
+            (0..CLIENT_COUNT).map(|number| tokio::spawn(Arc::clone(&clients).run(number)));
         let running: Vec<_> = running.collect();
-        self.play_script().await;
-        let took = self.settle(&clients, "after the last fault").await;
+        self.run_script().await;
+        let took = self
+            .wait_until_served(&clients, "after the last fault")
+            .await;
         clients.end();
         for client in running {
             client.await.unwrap();
         }
-        // What was given up may still be worked on for a moment.
-        tokio::time::sleep(WORK * 10).await;
+        // Cancelled requests may still be running for a moment.
+        tokio::time::sleep(SERVICE_TIME * 10).await;
         clients.check_all();
-        clients.check_silences(|place| self.absences(place));
+        clients.check_unanswered_requests(|index| self.downtimes(index));
         let (served, all) = clients.served();
         println!(
             "seed {}: {served} of {all} served, settled after {took:?}",
             self.seed
         );
-        let broken = self.truth.all_broken();
-        if !broken.is_empty() {
+        let violations = self.truth.violations();
+        if !violations.is_empty() {
             self.keep_logs();
         }
-        broken
+        violations
     }
 
-    async fn play_script(&mut self) {
+    async fn run_script(&mut self) {
         let began = Instant::now();
-        let mut later: Vec<(Instant, Later)> = Vec::new();
-        for (at, trouble) in script::draw(self.seed, self.hosts.len()) {
-            self.wait_until(began + at, &mut later).await;
-            println!("seed {} {at:?} {trouble:?}", self.seed);
-            let undo = self.begin(trouble);
-            later.extend(undo.map(|(time, undo)| (Instant::now() + time, undo)));
+        let mut recoveries: Vec<(Instant, Recovery)> = Vec::new();
+        for (at, fault) in script::draw(self.seed, self.hosts.len()) {
+            self.wait_until(began + at, &mut recoveries).await;
+            println!("seed {} {at:?} {fault:?}", self.seed);
+            let recovery = self.start_fault(fault);
+            recoveries.extend(recovery.map(|(time, recovery)| (Instant::now() + time, recovery)));
         }
-        while let Some(last) = later.iter().map(|(at, _)| *at).max() {
-            self.wait_until(last, &mut later).await;
+        while let Some(last) = recoveries.iter().map(|(at, _)| *at).max() {
+            self.wait_until(last, &mut recoveries).await;
         }
     }
 
-    async fn wait_until(&mut self, end: Instant, later: &mut Vec<(Instant, Later)>) {
+    async fn wait_until(&mut self, end: Instant, recoveries: &mut Vec<(Instant, Recovery)>) {
         loop {
             let now = Instant::now();
-            let due = later.iter().position(|(at, _)| *at <= now);
+            let due = recoveries.iter().position(|(at, _)| *at <= now);
             if let Some(due) = due {
-                let (_, undo) = later.swap_remove(due);
-                let again = self.undo(undo).await;
-                later.extend(again.map(|(time, undo)| (now + time, undo)));
+                let (_, recovery) = recoveries.swap_remove(due);
+                let next = self.recover(recovery).await;
+                recoveries.extend(next.map(|(time, recovery)| (now + time, recovery)));
                 continue;
             }
             if now >= end {
@@ -249,71 +250,74 @@
         }
     }
 
-    fn begin(&mut self, trouble: Trouble) -> Option<(Duration, Later)> {
-        match trouble {
-            Trouble::Kill(place, time) => {
-                self.kill(place);
-                Some((time, Later::Start(place)))
+    fn start_fault(&mut self, fault: Fault) -> Option<(Duration, Recovery)> {
+        match fault {
+            Fault::Kill(index, time) => {
+                self.kill(index);
+                Some((time, Recovery::StartNode(index)))
             }
-            Trouble::KillMost(time) => {
-                for place in 1..self.hosts.len() {
-                    self.kill(place);
+            Fault::KillMost(time) => {
+                for index in 1..self.hosts.len() {
+                    self.kill(index);
                 }
-                Some((time, Later::Start(usize::MAX)))
+                Some((time, Recovery::StartNode(usize::MAX)))
             }
-            Trouble::Pause(place, time) => {
-                self.disturb(place);
-                self.signal(place, Signal::STOP);
-                Some((time, Later::Continue(place)))
+            Fault::Pause(index, time) => {
+                self.record_disturbance(index);
+                self.signal(index, Signal::STOP);
+                Some((time, Recovery::Resume(index)))
             }
-            Trouble::Leave(place) => {
-                // A process that stands still hears nothing.
-                self.signal(place, Signal::CONT);
-                self.signal(place, Signal::TERM);
-                let id = self.hosts[place].process.as_ref()?.id();
-                let ended = Later::StartOnceEnded(place, id, Instant::now());
+            Fault::Terminate(index) => {
+                // A paused process does not handle signals.
+                self.signal(index, Signal::CONT);
+                self.signal(index, Signal::TERM);
+                let id = self.hosts[index].process.as_ref()?.id();
+                let ended = Recovery::StartOnceEnded(index, id, Instant::now());
                 Some((Duration::from_millis(50), ended))
             }
-            Trouble::Lose(place) => {
-                self.lose(place);
+            Fault::RemoveHost(index) => {
+                self.remove_host(index);
                 None
             }
-            Trouble::Hup(place) => {
-                self.signal(place, Signal::HUP);
+            Fault::Hup(index) => {
+                self.signal(index, Signal::HUP);
                 None
             }
-            Trouble::Crash(place, time) => {
-                self.set_stream(place, Link::Server, refusing());
-                self.stream(place, Link::Server).cut();
-                self.hosts[place].server.die();
-                Some((time, Later::Reborn(place)))
+            Fault::Crash(index, time) => {
+                self.set_stream(index, Link::Server, refusing());
+                self.stream(index, Link::Server).cut();
+                self.hosts[index].server.crash();
+                Some((time, Recovery::RestartServer(index)))
             }
-            Trouble::Drain(place) => {
-                let server = &self.hosts[place].server;
+            Fault::Drain(index) => {
+                let server = &self.hosts[index].server;
                 server.drain();
-                Some((DRAIN, Later::Replace(place, server.life())))
+                Some((
+                    DRAIN_TIME,
+                    Recovery::ReplaceServer(index, server.incarnation()),
+                ))
             }
-            Trouble::LoseAnswers(place, time) => {
-                self.hosts[place].server.lose_answers(true);
-                Some((time, Later::Answers(place)))
+            Fault::LoseResponses(index, time) => {
+                self.hosts[index].server.drop_responses(true);
+                Some((time, Recovery::DeliverResponses(index)))
             }
-            Trouble::Slow(place, time) => {
-                self.hosts[place].server.set_work(WORK * 30);
-                Some((time, Later::Fast(place)))
+            Fault::Slow(index, time) => {
+                self.hosts[index].server.set_service_time(SERVICE_TIME * 30);
+                Some((time, Recovery::ResetSpeed(index)))
             }
-            Trouble::Link(place, link, fault, time) => {
-                self.harm(place, link, fault);
-                Some((time, Later::Heal(place, link)))
+            Fault::Link(index, link, fault, time) => {
+                self.set_link_fault(index, link, fault);
+                Some((time, Recovery::ClearLinkFault(index, link)))
             }
-            Trouble::Store(trouble, time) => {
-                self.store.set_faults(store_faults(trouble));
-                Some((time, Later::StoreHeals))
+            Fault::Store(fault, time) => {
+                self.store.set_faults(store_faults(fault));
+                Some((time, Recovery::ClearStoreFaults))
             }
-            Trouble::Evacuate(zone, time) => {
+            Fault::Evacuate(zone, time) => {
                 self.store.write(&format!("evacuate/zone-{zone}"), "{}");
-                Some((time, Later::Return(zone)))
+                Some((time, Recovery::EndEvacuation(zone)))
             }
-            Trouble::Config => {
+            Fault::Config => {
                 self.version += 1;
                 self.store.write("config", &config(self.version, 1_000));
                 None
@@ -321,100 +325,112 @@
         }
     }
 
-    async fn undo(&mut self, undo: Later) -> Option<(Duration, Later)> {
-        match undo {
-            Later::Start(usize::MAX) => {
-                for place in 1..self.hosts.len() {
-                    self.start_node(place);
+    async fn recover(&mut self, recovery: Recovery) -> Option<(Duration, Recovery)> {
+        match recovery {
+            Recovery::StartNode(usize::MAX) => {
+                for index in 1..self.hosts.len() {
+                    self.start_node(index);
                 }
             }
-            Later::Start(place) => self.start_node(place),
-            Later::Continue(place) => {
-                self.signal(place, Signal::CONT);
-                self.disturb(place);
+            Recovery::StartNode(index) => self.start_node(index),
+            Recovery::Resume(index) => {
+                self.signal(index, Signal::CONT);
+                self.record_disturbance(index);
             }
-            Later::StartOnceEnded(place, id, since) => return self.await_end(place, id, since),
-            Later::Reborn(place) if self.hosts[place].lost.load(Ordering::Relaxed) => {}
-            Later::Reborn(place) => {
-                self.hosts[place].server.reborn(&format!("server-{place}"));
-                self.set_stream(place, Link::Server, StreamFaults::default());
+            Recovery::StartOnceEnded(index, id, since) => {
+                return self.restart_once_ended(index, id, since);
             }
-            Later::Replace(place, life) => self.replace(place, &life).await,
-            Later::Answers(place) => self.hosts[place].server.lose_answers(false),
-            Later::Fast(place) => self.hosts[place].server.set_work(WORK),
-            Later::Heal(place, link) => self.heal(place, link),
-            Later::StoreHeals => self.store.set_faults(StoreFaults::default()),
-            Later::Return(zone) => self.store.write(&format!("evacuate/zone-{zone}"), ""),
+            Recovery::RestartServer(index) if self.hosts[index].removed.load(Ordering::Relaxed) => {
+            }
+            Recovery::RestartServer(index) => {
+                self.hosts[index]
+                    .server
+                    .restart_as(&format!("server-{index}"));
+                self.set_stream(index, Link::Server, StreamFaults::default());
+            }
+            Recovery::ReplaceServer(index, incarnation) => {
+                self.replace_server(index, &incarnation).await
+            }
+            Recovery::DeliverResponses(index) => self.hosts[index].server.drop_responses(false),
+            Recovery::ResetSpeed(index) => self.hosts[index].server.set_service_time(SERVICE_TIME),
+            Recovery::ClearLinkFault(index, link) => self.clear_link_fault(index, link),
+            Recovery::ClearStoreFaults => self.store.set_faults(StoreFaults::default()),
+            Recovery::EndEvacuation(zone) => self.store.write(&format!("evacuate/zone-{zone}"), ""),
         }
         None
     }
 
-    /// Starts the process of a host again once the one that was told to leave has ended.
-    fn await_end(&mut self, place: usize, id: u32, since: Instant) -> Option<(Duration, Later)> {
-        let process = self.hosts[place].process.as_mut();
+    /// Restarts the process of a host once the one that received SIGTERM has exited.
+    fn restart_once_ended(
+        &mut self,
+        index: usize,
+        id: u32,
+        since: Instant,
+    ) -> Option<(Duration, Recovery)> {
+        let process = self.hosts[index].process.as_mut();
         let process = process.filter(|process| process.id() == id)?;
         if process.has_ended() {
-            self.hosts[place].process = None;
-            self.start_node(place);
+            self.hosts[index].process = None;
+            self.start_node(index);
             return None;
         }
-        let disturbed = *self.hosts[place].disturbed.lock().unwrap();
-        if since.elapsed() > ENDS && disturbed < since {
-            let what = format!("the process of node-{place} has not ended");
-            self.truth.broken(what);
-            self.kill(place);
-            self.start_node(place);
+        let disturbed = *self.hosts[index].disturbed.lock().unwrap();
+        if since.elapsed() > EXIT_TIMEOUT && disturbed < since {
+            let what = format!("the process of node-{index} has not ended");
+            self.truth.record_violation(what);
+            self.kill(index);
+            self.start_node(index);
             return None;
         }
-        let look = Later::StartOnceEnded(place, id, since);
-        Some((Duration::from_millis(50), look))
+        let recheck = Recovery::StartOnceEnded(index, id, since);
+        Some((Duration::from_millis(50), recheck))
     }
 
-    /// A server that has said that it leaves is gone, and the next one has its address.
-    async fn replace(&mut self, place: usize, life: &str) {
-        let server = self.hosts[place].server.clone();
-        let lost = self.hosts[place].lost.load(Ordering::Relaxed);
-        if server.life() != life || lost {
+    /// Deregisters a draining server and starts its successor at the same address.
+    async fn replace_server(&mut self, index: usize, incarnation: &str) {
+        let server = self.hosts[index].server.clone();
+        let removed = self.hosts[index].removed.load(Ordering::Relaxed);
+        if server.incarnation() != incarnation || removed {
             return;
         }
-        if server.is_acknowledged() && server.ran_after_drain() > DRAIN {
+        if server.is_drain_acknowledged() && server.ran_after_drain() > DRAIN_TIME {
             let late = server.ran_after_drain();
-            self.truth.broken(format!(
-                "{life} got a request {late:?} after its leave was acknowledged"
+            self.truth.record_violation(format!(
+                "{incarnation} got a request {late:?} after its leave was acknowledged"
             ));
         }
-        server.say_gone().await;
-        self.lives += 1;
-        server.reborn(&format!("server-{place}-{}", self.lives));
+        server.deregister().await;
+        self.incarnations += 1;
+        server.restart_as(&format!("server-{index}-{}", self.incarnations));
     }
 
-    /// Takes a host away for good, unless too few would be left that can serve everything.
-    fn lose(&mut self, place: usize) {
-        let here = |host: &&Host| !host.lost.load(Ordering::Relaxed);
-        let left = self.hosts.iter().filter(here).count();
-        let service = &self.entrances[place].service;
-        let entrances = self.entrances.iter();
-        let same = entrances
-            .filter(|entrance| entrance.service == *service)
-            .filter(|entrance| !entrance.lost.load(Ordering::Relaxed));
+    /// Removes a host permanently, unless too few would remain to serve everything.
+    fn remove_host(&mut self, index: usize) {
+        let present = |host: &&Host| !host.removed.load(Ordering::Relaxed);
+        let left = self.hosts.iter().filter(present).count();
+        let service = &self.endpoints[index].service;
+        let endpoints = self.endpoints.iter();
+        let same = endpoints
+            .filter(|endpoint| endpoint.service == *service)
+            .filter(|endpoint| !endpoint.removed.load(Ordering::Relaxed));
         if left <= self.hosts.len() * 2 / 3 || same.count() <= 1 {
             return;
         }
-        self.hosts[place].lost.store(true, Ordering::Relaxed);
-        self.kill(place);
-        self.set_stream(place, Link::Server, refusing());
-        self.stream(place, Link::Server).cut();
-        self.hosts[place].server.die();
+        self.hosts[index].removed.store(true, Ordering::Relaxed);
+        self.kill(index);
+        self.set_stream(index, Link::Server, refusing());
+        self.stream(index, Link::Server).cut();
+        self.hosts[index].server.crash();
     }
 
-    fn kill(&mut self, place: usize) {
-        self.disturb(place);
-        self.hosts[place].process = None;
+    fn kill(&mut self, index: usize) {
+        self.record_disturbance(index);
+        self.hosts[index].process = None;
     }
 
-    fn start_node(&mut self, place: usize) {
-        let host = &mut self.hosts[place];
-        if host.lost.load(Ordering::Relaxed) {
+    fn start_node(&mut self, index: usize) {
+        let host = &mut self.hosts[index];
+        if host.removed.load(Ordering::Relaxed) {
             return;
         }
         if host.process.as_mut().is_none_or(NodeProcess::has_ended) {
@@ -423,63 +439,63 @@
         }
     }
 
-    fn signal(&mut self, place: usize, signal: Signal) {
-        if let Some(process) = self.hosts[place].process.as_mut()
+    fn signal(&mut self, index: usize, signal: Signal) {
+        if let Some(process) = self.hosts[index].process.as_mut()
             && !process.has_ended()
         {
             process.signal(signal);
         }
     }
 
-    fn disturb(&self, place: usize) {
-        *self.hosts[place].disturbed.lock().unwrap() = Instant::now();
+    fn record_disturbance(&self, index: usize) {
+        *self.hosts[index].disturbed.lock().unwrap() = Instant::now();
     }
 
-    fn stream(&self, place: usize, link: Link) -> &StreamProxy {
-        let mut streams = self.hosts[place].streams.iter();
+    fn stream(&self, index: usize, link: Link) -> &StreamProxy {
+        let mut streams = self.hosts[index].streams.iter();
         &streams.find(|(name, _)| *name == link).unwrap().1
     }
 
-    fn set_stream(&self, place: usize, link: Link, faults: StreamFaults) {
-        self.stream(place, link).set_faults(faults);
+    fn set_stream(&self, index: usize, link: Link, faults: StreamFaults) {
+        self.stream(index, link).set_faults(faults);
     }
 
-    fn harm(&self, place: usize, link: Link, fault: LinkFault) {
+    fn set_link_fault(&self, index: usize, link: Link, fault: LinkFault) {
         if link == Link::Clients {
-            self.disturb(place);
+            self.record_disturbance(index);
         }
         if link == Link::Datagrams {
             let (forward, back) = datagram_faults(fault);
-            self.hosts[place].datagrams.set_faults(forward, back);
+            self.hosts[index].datagrams.set_faults(forward, back);
             return;
         }
         if fault == LinkFault::Reset {
-            self.stream(place, link).cut();
+            self.stream(index, link).cut();
         }
-        self.set_stream(place, link, stream_faults(fault));
+        self.set_stream(index, link, stream_faults(fault));
     }
 
-    fn heal(&self, place: usize, link: Link) {
+    fn clear_link_fault(&self, index: usize, link: Link) {
         if link == Link::Clients {
-            self.disturb(place);
+            self.record_disturbance(index);
         }
         match link {
             Link::Datagrams => {
                 let none = DatagramFaults::default();
-                self.hosts[place].datagrams.set_faults(none, none);
+                self.hosts[index].datagrams.set_faults(none, none);
             }
-            link => self.set_stream(place, link, StreamFaults::default()),
+            link => self.set_stream(index, link, StreamFaults::default()),
         }
     }
 
     /// Waits until every host serves everything.
-    async fn settle(&self, clients: &Clients, when: &str) -> Duration {
+    async fn wait_until_served(&self, clients: &Clients, when: &str) -> Duration {
         let began = Instant::now();
-        while !clients.all_served(&SAMPLE).await {
-            if began.elapsed() > SETTLED {
+        while !clients.all_served(&SAMPLE_KEYS).await {
+            if began.elapsed() > SERVED_TIMEOUT {
                 let held = self.truth.held();
                 let what = format!("not everything is served {when}; {held} keys are held");
-                self.truth.broken(what);
+                self.truth.record_violation(what);
                 break;
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -490,9 +506,9 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        for place in 0..self.hosts.len() {
-            // A stopped process can be killed, but its connections are not told until then.
-            self.hosts[place].process = None;
+        for index in 0..self.hosts.len() {
+            // A paused process can be killed, but its connections stay open until then.
+            self.hosts[index].process = None;
         }
     }
 }
@@ -549,19 +565,22 @@
     }
 }
 
-fn store_faults(trouble: StoreTrouble) -> StoreFaults {
+fn store_faults(fault: StoreFaultKind) -> StoreFaults {
     let none = StoreFaults::default();
-    match trouble {
-        StoreTrouble::Away => StoreFaults { away: true, ..none },
-        StoreTrouble::Slow => StoreFaults {
+    match fault {
+        StoreFaultKind::Unavailable => StoreFaults {
+            unavailable: true,
+            ..none
+        },
+        StoreFaultKind::Slow => StoreFaults {
             slow: Duration::from_millis(300),
             ..none
         },
-        StoreTrouble::LosesAnswers => StoreFaults {
-            loses_answers: true,
+        StoreFaultKind::DropsReplies => StoreFaults {
+            drops_replies: true,
             ..none
         },
-        StoreTrouble::Late => StoreFaults {
+        StoreFaultKind::Late => StoreFaults {
             late: Some(Duration::from_secs(3)),
             ..none
         },
--- a/crates/rack/tests/soak/main.rs
+++ b/crates/rack/tests/soak/main.rs
@@ -1,9 +1,9 @@
-//! Random faults around the real program, as separate processes, with the promises checked by what
-//! clients and backend servers see.
+//! Random faults around the router, which runs as separate processes. The guarantees are checked by
+//! what clients and backend servers observe.
 //!
-//! `QUETZALRACK_SOAK_SEEDS` asks for more seeds, `QUETZALRACK_SOAK_FIRST` names the first,
-//! `QUETZALRACK_SOAK_JOBS` says how many are played at a time, and `QUETZALRACK_SOAK_HOSTS` sets the
-//! number of hosts.
+//! `QUETZALRACK_SOAK_SEEDS` sets the number of seeds, `QUETZALRACK_SOAK_FIRST` the first of them,
+//! `QUETZALRACK_SOAK_JOBS` how many run concurrently, and `QUETZALRACK_SOAK_HOSTS` the number of
+//! hosts.
 #![allow(clippy::unwrap_used, clippy::panic)]
 
 #[path = "../system/support/mod.rs"]
@@ -22,42 +22,43 @@
 
 use fleet::Fleet;
 
-/// How many seeds a usual run plays, and the first of them.
-const USUAL_SEEDS: u64 = 2;
-const USUAL_FIRST: u64 = 1;
-/// How many are played at a time.
-const USUAL_JOBS: u64 = 2;
-/// How many hosts there are.
-const USUAL_HOSTS: usize = 7;
+/// Number of seeds by default, and the first of them.
+const DEFAULT_SEEDS: u64 = 2;
+const DEFAULT_FIRST_SEED: u64 = 1;
+/// How many seeds run concurrently.
+const DEFAULT_JOBS: u64 = 2;
+/// Number of hosts.
+const DEFAULT_HOSTS: usize = 7;
 
-fn setting(name: &str, usual: u64) -> u64 {
+fn setting(name: &str, default: u64) -> u64 {
     let value = std::env::var(format!("QUETZALRACK_SOAK_{name}")).ok();
-    value.map_or(usual, |value| value.parse().unwrap())
+    value.map_or(default, |value| value.parse().unwrap())
 }
 
-/// Plays one seed; returns what was broken.
-fn play(seed: u64, hosts: usize) -> Vec<String> {
+/// Runs one seed; returns the violated guarantees.
+fn run_seed(seed: u64, hosts: usize) -> Vec<String> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
         .unwrap();
-    let broken = runtime.block_on(async {
+    let violations = runtime.block_on(async {
         let mut fleet = Fleet::start(seed, hosts).await;
-        fleet.play().await
+        fleet.run().await
     });
     runtime.shutdown_timeout(Duration::from_secs(1));
-    broken
+    violations
 }
 
-/// Hosts and servers are killed, paused, told to leave and started again, connections are delayed,
-/// cut, reset and silenced, the store is away, slow or silent about what it did; series of these
-/// overlap. No caller gets what is not its own, nothing runs twice that may not, "not run" is true, no
-/// key has two holders, and everything is served again soon after the last fault.
+/// Guards against violated guarantees under overlapping series of faults: processes and servers are
+/// killed, paused, shut down and restarted; connections are delayed, cut, reset and silenced; the
+/// store is unavailable, slow or does not confirm appends. No caller receives another's response,
+/// no non-idempotent request runs twice, "not run" is true, no key has two holders, and everything
+/// is served again soon after the last fault.
 #[test]
 fn random_faults() {
-    let first = setting("FIRST", USUAL_FIRST);
-    let hosts = usize::try_from(setting("HOSTS", USUAL_HOSTS as u64)).unwrap();
-    let end = first + setting("SEEDS", USUAL_SEEDS);
+    let first = setting("FIRST", DEFAULT_FIRST_SEED);
+    let hosts = usize::try_from(setting("HOSTS", DEFAULT_HOSTS as u64)).unwrap();
+    let end = first + setting("SEEDS", DEFAULT_SEEDS);
     let next = AtomicU64::new(first);
     let failed = Mutex::new(Vec::new());
     let work = || {
@@ -66,14 +67,14 @@
             if seed >= end {
                 return;
             }
-            let broken = play(seed, hosts);
-            println!("seed {seed}: {} promises broken", broken.len());
-            let named = broken.iter().map(|what| format!("seed {seed}: {what}"));
+            let violations = run_seed(seed, hosts);
+            println!("seed {seed}: {} promises broken", violations.len());
+            let named = violations.iter().map(|what| format!("seed {seed}: {what}"));
             failed.lock().unwrap().extend(named);
         }
     };
     thread::scope(|scope| {
-        for _ in 0..setting("JOBS", USUAL_JOBS) {
+        for _ in 0..setting("JOBS", DEFAULT_JOBS) {
             scope.spawn(work);
         }
     });
@@ -81,12 +82,12 @@
     assert!(failed.is_empty(), "{failed:#?}");
 }
 
-/// Seeds that once showed a fault, each with its cause.
+/// Seeds that failed in the past, each with its cause.
 #[test]
 fn failed_before() {
     let seeds: [u64; 0] = [];
     for seed in seeds {
-        let broken = play(seed, USUAL_HOSTS);
-        assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
+        let violations = run_seed(seed, DEFAULT_HOSTS);
+        assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
     }
 }
--- a/crates/rack/tests/system/reload.rs
+++ b/crates/rack/tests/system/reload.rs
@@ -1,4 +1,4 @@
-//! The settings file of a running process changes.
+//! Changes to the settings file of a running process.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,22 +19,22 @@
     }
 }
 
-/// The file changes without a signal, and then becomes unreadable. The process goes on with what it
-/// has, and says within seconds which fields differ and what is wrong; a signal makes it say so again.
+/// The file changes without a signal and then becomes unreadable. The process keeps its settings and logs
+/// within seconds which fields differ or that the file can't be read; a signal makes it log that again.
 #[tokio::test(flavor = "multi_thread")]
 async fn changed_file() {
     let world = World::start(&["plain", "keyed"]).await;
-    world.settled(START).await;
+    world.wait_until_served(START).await;
     world.change_settings(0, "drain = \"2000ms\"", "drain = \"2500ms\"");
     let line = wait_for(&world, "reload", 1).await;
     assert_eq!(
         (&line["changed"], &line["fields"]),
         (&true.into(), &"bounds".into())
     );
-    world.hang_up(0);
+    world.send_sighup(0);
     wait_for(&world, "reload", 2).await;
     world.change_settings(0, "[self]", "[self");
     wait_for(&world, "reload_failed", 1).await;
     assert!(world.is_ready(0).await);
-    world.settled(Duration::from_secs(5)).await;
+    world.wait_until_served(Duration::from_secs(5)).await;
 }
--- a/crates/rack/tests/system/support/stand_in_server.rs
+++ b/crates/rack/tests/system/support/stand_in_server.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a backend server that holds keys by heartbeat and checks them.
+//! A stand-in for a backend server that is granted keys and checks each request against them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,86 +28,84 @@
 use tokio::task::AbortHandle;
 use tokio::task::JoinSet;
 
-use super::called_keys::Call;
-use super::called_keys::CallFault;
-use super::called_keys::CalledKeys;
-use super::truth::Row;
+use super::call_grants::Call;
+use super::call_grants::CallFault;
+use super::call_grants::CallGrants;
+use super::truth::HeldRange;
 use super::truth::Truth;
 
-/// The time between two heartbeats.
+/// Interval between two heartbeats.
 pub const HEARTBEAT: Duration = Duration::from_millis(300);
-/// How soon the next one follows while something is to be released.
-const RELEASING: Duration = Duration::from_millis(50);
-/// How often a new life tries to open the port of the one before.
-const REBIND: Duration = Duration::from_millis(2);
-/// The span over which arrivals at a cold server are counted.
+/// Interval between heartbeats while keys are being released.
+const RELEASING_HEARTBEAT: Duration = Duration::from_millis(50);
+/// Interval between attempts to bind the port of the previous incarnation.
+const REBIND_INTERVAL: Duration = Duration::from_millis(2);
+/// Window over which requests to a cold server are counted.
 const SECOND: Duration = Duration::from_secs(1);
-/// How long a heartbeat waits for its answer.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// Timeout of a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Says where a server is and what it is for.
+/// Addresses and service of a server.
 #[derive(Clone)]
 pub struct ServerPlan {
     pub id: String,
     pub service: String,
     pub keyed: bool,
-    /// Where it listens.
-    pub listens: SocketAddr,
-    /// The address that it tells, which leads to where it listens.
-    pub told: SocketAddr,
-    /// Where its heartbeats go.
+    pub listen: SocketAddr,
+    /// Address reported in heartbeats, which leads to `listen`.
+    pub advertised: SocketAddr,
+    /// Destination of its heartbeats.
     pub control: SocketAddr,
 }
 
-/// Is a server and what it has seen.
+/// A stand-in server and what it has recorded.
 #[derive(Clone)]
 pub struct StandInServer {
     plan: ServerPlan,
     pub(super) truth: Arc<Truth>,
-    state: Arc<Mutex<Seen>>,
+    state: Arc<Mutex<ServerState>>,
     port: Arc<Mutex<Option<AbortHandle>>>,
 }
 
 #[derive(Default)]
-pub(super) struct Seen {
+pub(super) struct ServerState {
     id: String,
-    born: u64,
+    started_ms: u64,
     sequence: u64,
-    holds: Vec<Row>,
-    /// What it holds by calls, where keys come that way.
-    pub(super) called: CalledKeys,
-    /// What it was told to release, until nothing works on it any more.
-    releasing: Vec<Row>,
-    until: Option<Instant>,
-    /// Keys that are being worked on.
-    pub(super) working: Vec<u16>,
-    freed: Vec<(u16, u16, String)>,
+    holds: Vec<HeldRange>,
+    /// Keys held by calls, if the settings grant keys that way.
+    pub(super) call_grants: CallGrants,
+    /// Ranges to be released once no requests are running on them.
+    releasing: Vec<HeldRange>,
+    held_until: Option<Instant>,
+    /// Keys of running requests.
+    pub(super) running: Vec<u16>,
+    released: Vec<(u16, u16, String)>,
     callers: Vec<String>,
     last_run: Option<Instant>,
-    /// When requests came that it did not send away as meant for another.
+    /// Arrival times of the requests that were not refused as misdirected.
     arrivals: Vec<Instant>,
-    /// Until when this life is cold.
+    /// When this incarnation ceases to be cold.
     cold_until: Option<Instant>,
     draining: bool,
     acknowledged: Option<Instant>,
-    work: Duration,
-    lose_answers: bool,
-    answer_bytes: usize,
+    service_time: Duration,
+    drop_responses: bool,
+    response_bytes: usize,
     echo: bool,
     pub(super) dead: bool,
 }
 
-/// Is a heartbeat that is about to be sent.
-struct Beat {
-    life: String,
+/// A heartbeat ready to be sent.
+struct PendingHeartbeat {
+    incarnation: String,
     url: String,
     body: Value,
-    /// What it says was released; said again until it is acknowledged.
-    freed: Vec<(u16, u16, String)>,
+    /// Ranges reported as released; reported again until acknowledged.
+    released: Vec<(u16, u16, String)>,
 }
 
-/// Returns the body with which a server answers a request when it echoes: what only this request's
-/// answer can be, of a length that differs.
+/// Returns the body of a response in echo mode: unique to the request and of a varying length.
 pub fn echo_of(id: &str) -> String {
     let seed = id.bytes().fold(7_usize, |sum, byte| {
         sum.wrapping_mul(31).wrapping_add(usize::from(byte))
@@ -126,14 +124,14 @@
         };
         server.rename(&server.plan.id);
         server.open_port();
-        while TcpStream::connect(server.plan.listens).await.is_err() {
-            tokio::time::sleep(REBIND).await;
+        while TcpStream::connect(server.plan.listen).await.is_err() {
+            tokio::time::sleep(REBIND_INTERVAL).await;
         }
-        tokio::spawn(server.clone().beat());
+        tokio::spawn(server.clone().run_heartbeats());
         server
     }
 
-    /// Listens, and closes all connections of the life before.
+    /// Listens, and closes all connections of the previous incarnation.
     fn open_port(&self) {
         let server = self.clone();
         let serving = tokio::spawn(async move { server.serve().await });
@@ -147,14 +145,14 @@
 
     async fn serve(self) {
         let listener = loop {
-            // The port of the life before is free a moment after that one has ended.
-            match TcpListener::bind(self.plan.listens).await {
+            // The previous incarnation's port becomes free shortly after its task is aborted.
+            match TcpListener::bind(self.plan.listen).await {
                 Ok(listener) => break listener,
-                Err(_) => tokio::time::sleep(REBIND).await,
+                Err(_) => tokio::time::sleep(REBIND_INTERVAL).await,
             }
         };
-        let router = Router::new().fallback(any(answer)).with_state(self);
-        // Dropped with this life, it ends every connection.
+        let router = Router::new().fallback(any(handle_request)).with_state(self);
+        // Dropped with this incarnation, which closes every connection.
         let mut connections = JoinSet::new();
         while let Ok((stream, _)) = listener.accept().await {
             let service = TowerToHyperService::new(router.clone());
@@ -163,19 +161,19 @@
         }
     }
 
-    /// Ends this life: it holds nothing, its port is closed, and it sends no heartbeats until it is born
-    /// again.
-    pub fn die(&self) {
+    /// Ends this incarnation: drops its keys, closes its port, and sends no heartbeats until
+    /// restarted.
+    pub fn crash(&self) {
         self.replace_port(None);
-        let life = self.life();
+        let incarnation = self.incarnation();
         self.lock().dead = true;
-        self.truth.drop_all(&life);
+        self.truth.drop_all(&incarnation);
     }
 
-    /// Starts the next life, under the same id or another; it knows nothing of the one before.
-    pub fn reborn(&self, id: &str) {
-        let life = self.life();
-        self.truth.drop_all(&life);
+    /// Starts the next incarnation under this id, with no state of the previous one.
+    pub fn restart_as(&self, id: &str) {
+        let incarnation = self.incarnation();
+        self.truth.drop_all(&incarnation);
         self.rename(id);
         self.open_port();
     }
@@ -184,111 +182,111 @@
         let mut state = self.lock();
         let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         let now = u64::try_from(now.unwrap().as_millis()).unwrap();
-        let kept = Seen {
+        let kept = ServerState {
             echo: state.echo,
-            work: state.work,
-            answer_bytes: state.answer_bytes,
-            ..Seen::default()
+            service_time: state.service_time,
+            response_bytes: state.response_bytes,
+            ..ServerState::default()
         };
-        *state = Seen {
+        *state = ServerState {
             id: id.to_owned(),
-            born: now.max(state.born + 1),
+            started_ms: now.max(state.started_ms + 1),
             ..kept
         };
     }
 
-    /// Returns the id of this life and its birth.
-    pub fn life(&self) -> String {
+    /// Returns the id and start time of this incarnation.
+    pub fn incarnation(&self) -> String {
         let state = self.lock();
-        format!("{}@{}", state.id, state.born)
+        format!("{}@{}", state.id, state.started_ms)
     }
 
-    /// Says that it will leave.
+    /// Reports in heartbeats that it is draining.
     pub fn drain(&self) {
         self.lock().draining = true;
     }
 
-    /// Breaks the connection after it has run a request.
-    pub fn lose_answers(&self, lose: bool) {
-        self.lock().lose_answers = lose;
+    /// Sets whether the connection breaks after each executed request.
+    pub fn drop_responses(&self, lose: bool) {
+        self.lock().drop_responses = lose;
     }
 
-    /// Makes every request take this long.
-    pub fn set_work(&self, work: Duration) {
-        self.lock().work = work;
+    /// Sets the service time of every request.
+    pub fn set_service_time(&self, service_time: Duration) {
+        self.lock().service_time = service_time;
     }
 
-    /// Makes every answer this long.
-    pub fn set_answer(&self, bytes: usize) {
-        self.lock().answer_bytes = bytes;
+    /// Sets the length of every response.
+    pub fn set_response_bytes(&self, bytes: usize) {
+        self.lock().response_bytes = bytes;
     }
 
-    /// Answers with what only the request's own answer can be.
+    /// Makes every response unique to its request.
     pub fn set_echo(&self) {
         self.lock().echo = true;
     }
 
-    /// Returns how often a request has run here.
+    /// Returns how often this incarnation started executing a request.
     pub fn runs(&self, request: &str) -> u32 {
         self.count(request, false)
     }
 
-    /// Returns how often a request's work was done here, and not given up before.
+    /// Returns how often this incarnation finished a request that was not cancelled.
     pub fn finished(&self, request: &str) -> u32 {
         self.count(request, true)
     }
 
     fn count(&self, request: &str, finished: bool) -> u32 {
-        let life = self.life();
+        let incarnation = self.incarnation();
         let runs = self.truth.runs(request);
-        let own = runs.iter().filter(|run| run.server == life);
+        let own = runs.iter().filter(|run| run.server == incarnation);
         u32::try_from(own.filter(|run| run.finished || !finished).count()).unwrap()
     }
 
-    /// Makes this life cold for a while.
+    /// Marks this incarnation as cold for a while.
     pub fn set_cold(&self, time: Duration) {
         self.lock().cold_until = Some(Instant::now() + time);
     }
 
-    /// Returns how many requests came to this life within its busiest second.
+    /// Returns the largest number of requests received within one second.
     pub fn busiest_second(&self) -> usize {
         let state = self.lock();
         let all = &state.arrivals;
-        let within = |from: &Instant| {
+        let in_second = |from: &Instant| {
             let later = all.iter().filter(|at| *at >= from);
             later.take_while(|at| **at < *from + SECOND).count()
         };
-        all.iter().map(within).max().unwrap_or_default()
+        all.iter().map(in_second).max().unwrap_or_default()
     }
 
-    /// Returns the services that were named as callers.
+    /// Returns the calling services named in requests.
     pub fn callers(&self) -> Vec<String> {
         self.lock().callers.clone()
     }
 
-    /// Says what becomes of the calls that grant it keys.
+    /// Sets the fault in the handling of calls that grant keys.
     pub fn set_calls(&self, fault: CallFault) {
-        self.lock().called.fault = fault;
+        self.lock().call_grants.fault = fault;
     }
 
     /// Returns how many ranges it was asked to release.
     pub fn released(&self) -> u32 {
-        self.lock().called.released
+        self.lock().call_grants.released
     }
 
     /// Returns how many keys it holds now.
     pub fn keys(&self) -> u32 {
         let state = self.lock();
-        let called = state.called.held();
+        let called = state.call_grants.held();
         let held = state
             .holds
             .iter()
-            .chain(called.iter().map(|called| &called.row));
+            .chain(called.iter().map(|granted| &granted.range));
         held.map(|(first, last, _)| u32::from(*last) - u32::from(*first) + 1)
             .sum()
     }
 
-    /// Returns how long after the acknowledgement of its leaving the last request came.
+    /// Returns how long after the acknowledgement of its drain the last request arrived.
     pub fn ran_after_drain(&self) -> Duration {
         let state = self.lock();
         match (state.last_run, state.acknowledged) {
@@ -297,49 +295,60 @@
         }
     }
 
-    /// Tells whether its leaving was acknowledged.
-    pub fn is_acknowledged(&self) -> bool {
+    /// Returns whether its drain was acknowledged.
+    pub fn is_drain_acknowledged(&self) -> bool {
         self.lock().acknowledged.is_some()
     }
 
-    pub(super) fn lock(&self) -> MutexGuard<'_, Seen> {
+    pub(super) fn lock(&self) -> MutexGuard<'_, ServerState> {
         self.state.lock().unwrap()
     }
 
-    async fn beat(self) {
+    async fn run_heartbeats(self) {
         let http = reqwest::Client::builder().no_proxy().build().unwrap();
         loop {
-            let releasing = self.beat_once(&http).await;
-            tokio::time::sleep(if releasing { RELEASING } else { HEARTBEAT }).await;
+            let releasing = self.send_heartbeat(&http).await;
+            tokio::time::sleep(if releasing {
+                RELEASING_HEARTBEAT
+            } else {
+                HEARTBEAT
+            })
+            .await;
         }
     }
 
-    /// Sends one heartbeat; tells whether something is still to be released.
-    async fn beat_once(&self, http: &reqwest::Client) -> bool {
-        let Some(beat) = self.next_beat() else {
+    /// Sends one heartbeat; returns whether keys are still to be released.
+    async fn send_heartbeat(&self, http: &reqwest::Client) -> bool {
+        let Some(heartbeat) = self.next_heartbeat() else {
             return false;
         };
         let sent = Instant::now();
-        let call = http.put(beat.url).json(&beat.body).timeout(PATIENCE);
-        let answer = call.send().await;
-        if let Ok(answer) = answer
-            && answer.status().is_success()
-            && let Ok(answer) = answer.json::<Value>().await
-            && self.life() == beat.life
+        let call = http
+            .put(heartbeat.url)
+            .json(&heartbeat.body)
+            .timeout(HEARTBEAT_TIMEOUT);
+        let reply = call.send().await;
+        if let Ok(reply) = reply
+            && reply.status().is_success()
+            && let Ok(reply) = reply.json::<Value>().await
+            && self.incarnation() == heartbeat.incarnation
         {
-            self.take(&beat.life, sent, &beat.freed, &answer);
+            self.handle_reply(&heartbeat.incarnation, sent, &heartbeat.released, &reply);
         }
         !self.lock().releasing.is_empty()
     }
 
-    fn next_beat(&self) -> Option<Beat> {
-        let life = self.life();
+    fn next_heartbeat(&self) -> Option<PendingHeartbeat> {
+        let incarnation = self.incarnation();
         let mut state = self.lock();
         if state.dead {
             return None;
         }
-        if state.until.is_some_and(|until| Instant::now() >= until) {
-            // What has run out is not reported as released.
+        if state
+            .held_until
+            .is_some_and(|until| Instant::now() >= until)
+        {
+            // Ranges whose hold has expired are not reported as released.
             state.holds.clear();
             state.releasing.clear();
         }
@@ -348,71 +357,83 @@
         let mut holds = state.holds.clone();
         holds.extend(&state.releasing);
         let body = json!({
-            "service": self.plan.service, "address": self.plan.told, "zone": "zone",
+            "service": self.plan.service, "address": self.plan.advertised, "zone": "zone",
             "version": "v1", "slots": 10, "state": if state.draining { "draining" } else { "ready" },
-            "cold_left": format!("{}ms", state.cold_left().as_millis()), "sequence": state.sequence, "born": state.born, "holds": holds,
-            "freed": state.freed,
+            "cold_left": format!("{}ms", state.cold_left().as_millis()), "sequence": state.sequence, "born": state.started_ms, "holds": holds,
+            "freed": state.released,
         });
         let url = format!("http://{}/instances/{}", self.plan.control, state.id);
-        Some(Beat {
-            life,
+        Some(PendingHeartbeat {
+            incarnation,
             url,
             body,
-            freed: state.freed.clone(),
+            released: state.released.clone(),
         })
     }
 
-    fn take(&self, life: &str, sent: Instant, told: &[(u16, u16, String)], answer: &Value) {
+    fn handle_reply(
+        &self,
+        incarnation: &str,
+        sent: Instant,
+        reported: &[(u16, u16, String)],
+        reply: &Value,
+    ) {
         let mut state = self.lock();
-        state.freed.retain(|freed| !told.contains(freed));
+        state
+            .released
+            .retain(|released| !reported.contains(released));
         if state.draining && state.acknowledged.is_none() {
             state.acknowledged = Some(Instant::now());
         }
         let granted =
-            serde_json::from_value::<Vec<(u16, u16, u64, String)>>(answer["holds"].clone());
+            serde_json::from_value::<Vec<(u16, u16, u64, String)>>(reply["holds"].clone());
         let Ok(granted) = granted else {
             return;
         };
-        let time = answer["hold_time"].as_str().unwrap();
+        let time = reply["hold_time"].as_str().unwrap();
         let time = time.strip_suffix("ms").unwrap().parse().unwrap();
         let until = sent + Duration::from_millis(time);
         if until <= Instant::now() {
             return;
         }
-        let next: Vec<Row> = granted
+        let next: Vec<HeldRange> = granted
             .iter()
             .map(|(a, b, fence, _)| (*a, *b, *fence))
             .collect();
         let mut held = state.holds.clone();
         held.append(&mut state.releasing);
-        let released = held.iter().flat_map(|row| left_out(*row, &next));
+        let released = held.iter().flat_map(|range| subtract_ranges(*range, &next));
         state.releasing = released.collect();
         state.holds.clone_from(&next);
-        state.until = Some(until);
+        state.held_until = Some(until);
         state.finish_releases();
         let mut all = next;
         all.extend(&state.releasing);
-        let all: Vec<(Row, Instant)> = all.into_iter().map(|row| (row, until)).collect();
-        self.truth.hold(life, &all);
+        let all: Vec<(HeldRange, Instant)> = all.into_iter().map(|range| (range, until)).collect();
+        self.truth.hold(incarnation, &all);
     }
 
-    /// Sends the last call of a server that leaves.
-    pub async fn say_gone(&self) {
+    /// Sends the final call of a server that shuts down.
+    pub async fn deregister(&self) {
         let url = format!("http://{}/instances/{}", self.plan.control, self.lock().id);
         let http = reqwest::Client::builder().no_proxy().build().unwrap();
-        // Nobody may be there to hear it.
-        http.delete(url).timeout(PATIENCE).send().await.ok();
+        // The node may not be running.
+        http.delete(url)
+            .timeout(HEARTBEAT_TIMEOUT)
+            .send()
+            .await
+            .ok();
     }
 }
 
-/// Returns the parts of a row that none of the others covers.
-pub(super) fn left_out(row: Row, others: &[Row]) -> Vec<Row> {
-    let (_, last, fence) = row;
-    let mut others: Vec<&Row> = others.iter().collect();
+/// Returns the parts of a range that none of the others covers.
+pub(super) fn subtract_ranges(range: HeldRange, others: &[HeldRange]) -> Vec<HeldRange> {
+    let (_, last, fence) = range;
+    let mut others: Vec<&HeldRange> = others.iter().collect();
     others.sort_unstable();
     let mut parts = Vec::new();
-    // Beyond the last key there is none, so keys are counted in a wider type.
-    let mut next = u32::from(row.0);
+    // A wider type, because the key after the last one does not fit into u16.
+    let mut next = u32::from(range.0);
     for (from, to, _) in others {
         if u32::from(*to) < next || *from > last {
             continue;
@@ -428,54 +449,54 @@
     parts
 }
 
-impl Seen {
+impl ServerState {
     fn cold_left(&self) -> Duration {
         let until = self.cold_until.unwrap_or_else(Instant::now);
         until.saturating_duration_since(Instant::now())
     }
 
-    /// Releases what nothing works on any more.
+    /// Releases ranges on which no requests are running.
     fn finish_releases(&mut self) {
-        let working = self.working.clone();
-        let (busy, done): (Vec<Row>, Vec<Row>) = self
+        let running = self.running.clone();
+        let (busy, done): (Vec<HeldRange>, Vec<HeldRange>) = self
             .releasing
             .drain(..)
-            .partition(|(first, last, _)| working.iter().any(|key| (first..=last).contains(&key)));
+            .partition(|(first, last, _)| running.iter().any(|key| (first..=last).contains(&key)));
         self.releasing = busy;
         let sequence = self.sequence;
-        let freed = done.into_iter().map(|(first, last, _)| {
-            let word = format!("word-{sequence}-{first}");
-            (first, last, word)
+        let released = done.into_iter().map(|(first, last, _)| {
+            let handover = format!("word-{sequence}-{first}");
+            (first, last, handover)
         });
-        self.freed.extend(freed);
+        self.released.extend(released);
     }
 
     fn holds(&self, key: u16) -> bool {
-        if self.called.holds(key) {
+        if self.call_grants.holds(key) {
             return true;
         }
         let mut held = self.holds.iter();
-        let valid = self.until.is_some_and(|until| Instant::now() < until);
+        let valid = self.held_until.is_some_and(|until| Instant::now() < until);
         valid && held.any(|(first, last, _)| (*first..=*last).contains(&key))
     }
 }
 
-/// Marks a key as worked on for as long as this lives.
-struct Working {
-    state: Arc<Mutex<Seen>>,
+/// Marks a key as in use until dropped.
+struct RunningKey {
+    state: Arc<Mutex<ServerState>>,
     key: Option<u16>,
 }
 
-impl Drop for Working {
+impl Drop for RunningKey {
     fn drop(&mut self) {
         if let (Some(key), Ok(mut state)) = (self.key, self.state.lock()) {
-            let place = state.working.iter().position(|working| *working == key);
-            place.map(|place| state.working.swap_remove(place));
+            let index = state.running.iter().position(|running| *running == key);
+            index.map(|index| state.running.swap_remove(index));
         }
     }
 }
 
-async fn answer(
+async fn handle_request(
     State(server): State<StandInServer>,
     uri: Uri,
     headers: HeaderMap,
@@ -483,7 +504,7 @@
 ) -> Response {
     if matches!(uri.path(), "/grant" | "/release") {
         return match Call::parse(uri.path(), &body) {
-            Some(call) => server.called(call).await,
+            Some(call) => server.handle_call(call).await,
             None => StatusCode::BAD_REQUEST.into_response(),
         };
     }
@@ -493,8 +514,8 @@
     };
     let (id, key) = (text("x-request-id"), text("x-shard-key").parse().ok());
     let refused = [("x-not-executed", "1"), ("x-request-id", id.as_str())];
-    let life = server.life();
-    let (work, lose, long, echo, _working) = {
+    let incarnation = server.incarnation();
+    let (service_time, lose, long, echo, _working) = {
         let mut state = server.lock();
         if state.dead {
             return StatusCode::BAD_GATEWAY.into_response();
@@ -507,22 +528,28 @@
         let now = Instant::now();
         state.last_run = Some(now);
         state.arrivals.push(now);
-        state.working.extend(key);
-        let working = Working {
+        state.running.extend(key);
+        let running = RunningKey {
             state: Arc::clone(&server.state),
             key,
         };
-        let (long, echo) = (state.answer_bytes, state.echo);
-        (state.work, state.lose_answers, long, echo, working)
+        let (long, echo) = (state.response_bytes, state.echo);
+        (
+            state.service_time,
+            state.drop_responses,
+            long,
+            echo,
+            running,
+        )
     };
-    server.truth.begin(&id, &life);
+    server.truth.begin(&id, &incarnation);
     if echo {
         check_echoed(&server.truth, &id, &text("x-caller-service"), &body);
     }
-    // A caller that hangs up ends this here.
-    tokio::time::sleep(work).await;
-    server.truth.finish(&id, &life);
-    let stamp = format!("stamp-of-{life}");
+    // If the caller disconnects, the request is cancelled here.
+    tokio::time::sleep(service_time).await;
+    server.truth.finish(&id, &incarnation);
+    let stamp = format!("stamp-of-{incarnation}");
     let stamped = [
         ("x-server-stamp", stamp.as_str()),
         ("x-request-id", id.as_str()),
@@ -533,20 +560,20 @@
         (long, _) => "x".repeat(long),
     };
     if lose {
-        // A body that breaks off before its announced end.
+        // A body that ends before its announced length.
         let broken = futures::stream::iter([Ok("half"), Err(std::io::Error::other("cut"))]);
         return (stamped, Body::from_stream(broken)).into_response();
     }
     (stamped, text).into_response()
 }
 
-/// Checks what a client of the soak sent: its id ends in the service of the host to which it was sent,
-/// and its body, if it has one, is its id.
+/// Checks a request of the soak's clients: its id ends in the service of the host that received it,
+/// and its body, if not empty, is its id.
 fn check_echoed(truth: &Truth, id: &str, caller: &str, body: &[u8]) {
     if !id.ends_with(&format!("-{caller}")) {
-        truth.broken(format!("{id} came with {caller} as its origin"));
+        truth.record_violation(format!("{id} came with {caller} as its origin"));
     }
     if !body.is_empty() && body != id.as_bytes() {
-        truth.broken(format!("{id} came with another body"));
+        truth.record_violation(format!("{id} came with another body"));
     }
 }
