--- a/crates/core/src/ownership/machine/claiming.rs
+++ b/crates/core/src/ownership/machine/claiming.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use super::Divisions;
-use super::MOST_VOTERS;
+use super::MAX_VOTERS;
 use super::Outbox;
 use super::Ownership;
 use super::RecordKind;
-use super::compose_claim;
+use super::build_claim;
 use crate::cluster::Member;
 use crate::explain::Happening;
 use crate::ownership::record::Claim;
@@ -30,7 +30,7 @@
 impl Ownership {
     /// Appends a claim.
     pub(super) fn claim(&mut self, now: Moment, claim: Claim, out: &mut Outbox) {
-        if let Some(controller) = claim.line.first() {
+        if let Some(controller) = claim.controllers.first() {
             out.explain(Happening::TermClaimed {
                 term: claim.term,
                 controller: controller.node.clone(),
@@ -60,7 +60,7 @@
         let (_, context) = self.parts(now);
         let mut divisions = Divisions::collect(&context, known.as_deref());
         divisions.add_services(&context);
-        let claim = compose_claim(&context, candidates, members, &divisions);
+        let claim = build_claim(&context, candidates, members, &divisions);
         self.claim(now, claim, out);
     }
 
@@ -75,7 +75,7 @@
         }
         let servers = self.expected_servers();
         let wanted = match servers {
-            Some(servers) => (servers as usize / 2 + 1).min(MOST_VOTERS),
+            Some(servers) => (servers as usize / 2 + 1).min(MAX_VOTERS),
             None => FEWEST_FOUNDERS,
         };
         self.known_members().len() >= wanted
@@ -83,7 +83,10 @@
 
     /// Chooses when to claim: after every deputy had its turn, and ever more seldom.
     fn next_claim(&mut self, now: Moment) -> Moment {
-        let line = self.voter.term().map_or(0, |term| term.claim.line.len());
+        let line = self
+            .voter
+            .term()
+            .map_or(0, |term| term.claim.controllers.len());
         let deputies = u32::try_from(line).unwrap_or(0);
         let base = if self.log.term().is_none() && self.log.has_gap() {
             GAP_WAIT
--- a/crates/core/src/ownership/machine/controller/calls.rs
+++ b/crates/core/src/ownership/machine/controller/calls.rs
@@ -9,7 +9,7 @@
 use super::SliceState;
 use crate::ids::NodeName;
 use crate::ownership::PeerMessage;
-use crate::ownership::message::Lead;
+use crate::ownership::message::ControllerAnnouncement;
 use crate::time::Moment;
 
 /// How often deputies hear the controller; three lost ones stay below their detection time.
@@ -40,7 +40,7 @@
         }
         self.called = Some(context.now);
         let next = self.ballot.rank.0 as usize + 1;
-        let line = self.term.claim.line.iter();
+        let line = self.term.claim.controllers.iter();
         let deputies = line.skip(next).take(CALLED_DEPUTIES);
         let mut nodes: Vec<NodeName> = deputies.map(|member| member.node.clone()).collect();
         nodes.push(context.own.node.clone());
@@ -60,7 +60,7 @@
     }
 
     /// Introduces the controller, with its term, to a node that does not know it.
-    pub(in crate::ownership::machine) fn introduce(
+    pub(in crate::ownership::machine) fn send_term(
         &mut self,
         context: &Context<'_>,
         node: &NodeName,
@@ -80,7 +80,7 @@
                 seat.called = Some(context.now);
                 seat.calls = seat.calls.saturating_add(1);
             }
-            self.introduce(context, &node, out);
+            self.send_term(context, &node, out);
         }
     }
 
@@ -95,13 +95,16 @@
         let Some(seat) = self.seats.get(node) else {
             return;
         };
-        let lead = Lead {
+        let lead = ControllerAnnouncement {
             ballot: self.ballot,
             round: self.authority.round_at(context.now),
-            prompt,
+            request_heartbeat: prompt,
             term: introduces.then(|| self.term.as_ref().clone()),
         };
-        out.send(seat.member.heartbeat, PeerMessage::Lead(Box::new(lead)));
+        out.send(
+            seat.member.heartbeat,
+            PeerMessage::ControllerAnnouncement(Box::new(lead)),
+        );
     }
 }
 
--- a/crates/core/src/ownership/machine/reach.rs
+++ b/crates/core/src/ownership/machine/reach.rs
@@ -63,7 +63,7 @@
     /// needs, and probes the voters if it does not.
     pub(super) fn hears_voters(&mut self, now: Moment, term: &TermState, out: &mut Outbox) -> bool {
         let own = &self.config.member.node;
-        let quorums = term.quorums();
+        let quorums = term.voter_sets();
         if quorums
             .iter()
             .all(|voters| self.reach.covers(now, voters, own))
@@ -77,8 +77,8 @@
             let votes = quorums.iter().flatten().any(|voter| *voter == member.node);
             if votes && !self.voter.is_own(&member.node) {
                 let probe = Probe {
-                    heartbeat: self.config.member.heartbeat,
-                    asked: now.0,
+                    reply_to: self.config.member.heartbeat,
+                    sent_at: now.0,
                 };
                 out.send(member.heartbeat, PeerMessage::Probe(probe));
             }
--- a/crates/mesh/src/ownership/leader/assigning.rs
+++ b/crates/mesh/src/ownership/leader/assigning.rs
@@ -21,7 +21,7 @@
             .member
             .server
             .as_ref()
-            .filter(|server| server.settled)?;
+            .filter(|server| server.holding_known)?;
         let mut ranges = Vec::new();
         if let Some(ledger) = self.ledgers.get(&peer.member.service) {
             for row in ledger.rows() {
@@ -39,7 +39,7 @@
             }
         }
         Some(Assignment {
-            server: server.life.clone(),
+            server: server.incarnation.clone(),
             ranges,
         })
     }
@@ -57,7 +57,7 @@
 
     pub(super) fn extend(&mut self, now: Moment, node: &NodeName) {
         let lease = self.authority.left(now, &self.times);
-        let end = now + LeaseTimes::waited(lease);
+        let end = now + LeaseTimes::plus_clock_drift(lease);
         for ledger in self.ledgers.values_mut() {
             for row in ledger.rows_mut() {
                 match &mut row.state {
--- a/crates/mesh/src/ownership/leader/calling.rs
+++ b/crates/mesh/src/ownership/leader/calling.rs
@@ -16,7 +16,7 @@
             if let Some(peer) = self.peers.get(&node) {
                 actions.push(Action::Send(
                     peer.member.control,
-                    PeerMessage::Prompt { epoch },
+                    PeerMessage::HeartbeatRequest { epoch },
                 ));
             }
         }
@@ -24,7 +24,7 @@
 
     /// Speaks to nodes that are silent: one that has started while the store is away knows nobody.
     pub(super) fn call_silent(&mut self, now: Moment, actions: &mut Vec<Action>) {
-        if !self.keeper.is_call_due(now, self.times.suspect) {
+        if !self.keeper.is_call_due(now, self.times.leader_timeout) {
             return;
         }
         let silent = self.peers.values().filter(|peer| !peer.is_heard(now));
@@ -37,7 +37,10 @@
         addresses.extend(unknown.map(|voter| voter.control));
         for address in addresses {
             let record = Box::new(self.record.clone());
-            actions.push(Action::Send(address, PeerMessage::Lead(record)));
+            actions.push(Action::Send(
+                address,
+                PeerMessage::LeaderAnnouncement(record),
+            ));
         }
     }
 }
--- a/crates/mesh/src/ownership/leader/moves.rs
+++ b/crates/mesh/src/ownership/leader/moves.rs
@@ -38,7 +38,7 @@
         let services: Vec<ServiceName> = self.ledgers.keys().cloned().collect();
         for service in services {
             self.note_servers(now, &service);
-            if self.takeover.is_none() && self.record.complete {
+            if self.takeover.is_none() && self.record.takeover_complete {
                 self.place_service(now, &service);
             }
         }
@@ -172,7 +172,7 @@
             .peers
             .get(node)
             .and_then(|peer| peer.member.server.as_ref());
-        let Some(server) = server.map(|server| server.life.clone()) else {
+        let Some(server) = server.map(|server| server.incarnation.clone()) else {
             return;
         };
         self.fence = self.fence.next();
@@ -184,7 +184,7 @@
             server: Some(server),
             fence: self.fence,
             handover,
-            until: now + LeaseTimes::waited(self.authority.left(now, &self.times)),
+            until: now + LeaseTimes::plus_clock_drift(self.authority.left(now, &self.times)),
         };
         if let Some(ledger) = self.ledgers.get_mut(service) {
             ledger.set(keys, RowState::Held(tenure));
--- a/crates/mesh/src/traffic/choice/outlook.rs
+++ b/crates/mesh/src/traffic/balancing/peer_stats.rs
@@ -4,7 +4,7 @@
 
 use quetzalrack_core::time::Moment;
 
-use crate::ownership::LoadSketch;
+use crate::ownership::LoadSummary;
 use crate::ownership::NodeLoad;
 
 /// How long a load that came with an answer is preferred to the leader's table.
@@ -18,7 +18,7 @@
 
 /// Keeps what this node saw of another.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Outlook {
+pub(super) struct PeerStats {
     reported: Option<(Moment, NodeLoad)>,
     /// Requests sent there and not ended, and how many of them since the last report.
     outstanding: u32,
@@ -28,13 +28,13 @@
     failures: f64,
 }
 
-impl Outlook {
-    pub(super) fn sent(&mut self) {
+impl PeerStats {
+    pub(super) fn record_sent(&mut self) {
         self.outstanding += 1;
         self.since_report += 1;
     }
 
-    pub(super) fn ended(&mut self, now: Moment, load: Option<NodeLoad>, failed: bool) {
+    pub(super) fn record_ended(&mut self, now: Moment, load: Option<NodeLoad>, failed: bool) {
         self.outstanding = self.outstanding.saturating_sub(1);
         self.since_report -= 1;
         let sample = if failed { 1.0 } else { 0.0 };
@@ -47,7 +47,7 @@
     }
 
     /// Learns that the node could not be reached; a second time doubles how long it is avoided.
-    pub(super) fn unreachable(&mut self, now: Moment) {
+    pub(super) fn record_unreachable(&mut self, now: Moment) {
         self.avoided = (self.avoided * 2).clamp(AVOIDED, AVOIDED_MOST);
         self.avoided_until = now + self.avoided;
     }
@@ -67,14 +67,14 @@
     }
 
     /// Estimates how full the node's server is, as a share of its `slots`.
-    pub(super) fn fill(&self, now: Moment, table: LoadSketch, slots: u16) -> f64 {
+    pub(super) fn fill(&self, now: Moment, table: LoadSummary, slots: u16) -> f64 {
         let own = f64::from(self.outstanding) / f64::from(slots.max(1));
         let told = match self.fresh(now) {
             Some(load) => {
                 let since = self.since_report.max(0) as f64;
-                load.fill() + since / f64::from(load.limit.max(1))
+                load.utilization() + since / f64::from(load.limit.max(1))
             }
-            None => table.fill(),
+            None => table.utilization(),
         };
         told.max(own)
     }
--- a/crates/mesh/src/traffic/owner_wait.rs
+++ b/crates/mesh/src/traffic/owner_wait.rs
@@ -40,7 +40,7 @@
 impl OwnerWait {
     /// Returns how long a request waits that has `left` until its deadline: nothing if one before it has
     /// waited in vain, and the owners have not changed since.
-    pub fn span(
+    pub fn max_wait(
         &self,
         now: Moment,
         directory: &Directory,
@@ -49,8 +49,9 @@
         left: Duration,
     ) -> Duration {
         let vain = self.vain.get(&block(directory, service, key));
-        let hopeless = vain
-            .is_some_and(|vain| vain.owners == directory.version && now.since(vain.at) < MEMORY);
+        let hopeless = vain.is_some_and(|vain| {
+            vain.owners == directory.owners_version && now.since(vain.at) < MEMORY
+        });
         match hopeless {
             true => Duration::ZERO,
             false => LONGEST.min(left / PART),
@@ -58,7 +59,7 @@
     }
 
     /// Learns that a request has waited for `waited`, and its key has no owner still.
-    pub fn in_vain(
+    pub fn record_timeout(
         &mut self,
         now: Moment,
         directory: &Directory,
@@ -72,7 +73,7 @@
         }
         self.vain.retain(|_, vain| now.since(vain.at) < MEMORY);
         let vain = Vain {
-            owners: directory.version,
+            owners: directory.owners_version,
             at: now,
         };
         self.vain.insert(block(directory, service, key), vain);
