--- a/crates/node/src/traffic/counters.rs
+++ b/crates/node/src/traffic/counters.rs
@@ -1,4 +1,4 @@
-//! The counts of what callers got.
+//! Counts of request outcomes, as seen by callers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,27 +14,27 @@
 use quetzalrack_core::ids::ServiceName;
 use quetzalrack_core::traffic::routes::MatchedRoute;
 
-/// Counts outcomes and latencies by route, since the process started.
+/// Counts outcomes and latencies by route since the process started.
 #[derive(Debug, Default)]
 pub(super) struct Counters {
-    routes: RwLock<BTreeMap<RoutePlace, Arc<Mutex<RouteCounts>>>>,
+    routes: RwLock<BTreeMap<RouteKey, Arc<Mutex<RouteCounts>>>>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct RoutePlace {
+struct RouteKey {
     service: ServiceName,
     route: RouteName,
 }
 
 impl Counters {
-    /// Counts one request as its caller saw it.
+    /// Counts one request with the outcome and latency that its caller saw.
     pub(super) fn record(
         &self,
         matched: &MatchedRoute,
         outcome: RequestOutcome,
         latency: Duration,
     ) {
-        let place = RoutePlace {
+        let key = RouteKey {
             service: matched.service.name.clone(),
             route: matched.route.name.clone(),
         };
@@ -42,24 +42,24 @@
             .routes
             .read()
             .unwrap_or_else(PoisonError::into_inner)
-            .get(&place)
+            .get(&key)
             .cloned();
         let counts = known.unwrap_or_else(|| {
             let mut routes = self.routes.write().unwrap_or_else(PoisonError::into_inner);
-            Arc::clone(routes.entry(place).or_default())
+            Arc::clone(routes.entry(key).or_default())
         });
         let mut counts = counts.lock().unwrap_or_else(PoisonError::into_inner);
         counts.record(outcome, latency);
     }
 
-    /// Copies the counts.
+    /// Returns a copy of the counts of every route.
     pub(super) fn sample(&self) -> Vec<RouteSample> {
         let routes = self.routes.read().unwrap_or_else(PoisonError::into_inner);
         routes
             .iter()
-            .map(|(place, counts)| RouteSample {
-                service: place.service.clone(),
-                route: place.route.clone(),
+            .map(|(key, counts)| RouteSample {
+                service: key.service.clone(),
+                route: key.route.clone(),
                 counts: counts
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner)
--- a/crates/node/src/traffic/egress/served.rs
+++ b/crates/node/src/traffic/egress/prepared_request.rs
@@ -1,4 +1,4 @@
-//! A request as egress sends it.
+//! A request to the backend server and the slot that it holds.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,19 +14,19 @@
 use quetzalrack_core::traffic::admission::AttemptOutcome;
 
 use super::Egress;
-use super::slice_book::SliceUse;
+use super::slice_requests::SliceRequest;
 use super::slots::Slot;
 
-/// Is the grant under which a request is sent.
+/// The grant under which a request is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Grant {
     pub(super) slice: SliceId,
     pub(super) fence: Fence,
 }
 
-/// Is what every answer to one request carries.
+/// The attempt, backend server and grant that the headers of a response name.
 #[derive(Clone, Debug)]
-pub(super) struct Origin {
+pub(super) struct ResponseOrigin {
     pub(super) attempt: AttemptId,
     pub(super) server: ServerName,
     pub(super) address: SocketAddr,
@@ -34,7 +34,7 @@
     pub(super) grant: Option<Grant>,
 }
 
-impl Origin {
+impl ResponseOrigin {
     pub(super) fn new(attempt: AttemptId, server: &Announcement, grant: Option<Grant>) -> Self {
         Self {
             attempt,
@@ -46,44 +46,47 @@
     }
 }
 
-/// Is a slot in use by a request that was sent.
+/// A slot in use by a request that was sent.
 ///
-/// A backend server that froze with a request in hand goes on with it when it thaws, whoever has
-/// stopped waiting. So a slot that is dropped before its request's end is known stays taken until
-/// the backend server has confirmed the cancellation.
+/// A backend server that was frozen while it ran a request continues with it afterwards, even if
+/// nobody waits for the response. A slot that is dropped before its request is known to have ended
+/// therefore stays in use until the backend server has confirmed the cancellation.
 pub(super) struct HeldSlot {
     egress: Arc<Egress>,
-    origin: Origin,
+    origin: ResponseOrigin,
     inner: Option<Inner>,
 }
 
 struct Inner {
     slot: Slot,
-    _used: Option<SliceUse>,
+    _slice_request: Option<SliceRequest>,
 }
 
 impl HeldSlot {
     pub(super) fn new(
         egress: &Arc<Egress>,
-        origin: Origin,
+        origin: ResponseOrigin,
         slot: Slot,
-        used: Option<SliceUse>,
+        slice_request: Option<SliceRequest>,
     ) -> Self {
         Self {
             egress: Arc::clone(egress),
             origin,
-            inner: Some(Inner { slot, _used: used }),
+            inner: Some(Inner {
+                slot,
+                _slice_request: slice_request,
+            }),
         }
     }
 
-    pub(super) fn origin(&self) -> &Origin {
+    pub(super) fn origin(&self) -> &ResponseOrigin {
         &self.origin
     }
 
-    /// Gives the slot back: the request's end is known.
-    pub(super) fn end(mut self, end: AttemptOutcome) {
+    /// Releases the slot of a request whose outcome is known.
+    pub(super) fn end(mut self, outcome: AttemptOutcome) {
         if let Some(inner) = self.inner.take() {
-            inner.slot.end(end);
+            inner.slot.end(outcome);
         }
     }
 }
@@ -95,21 +98,21 @@
         };
         let egress = Arc::clone(&self.egress);
         let origin = self.origin.clone();
-        // Dropped outside the traffic threads only while the process goes down.
+        // There is no runtime only while the process shuts down.
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
             runtime.spawn(async move {
-                egress.cancel_surely(&origin).await;
+                egress.cancel_until_confirmed(&origin).await;
                 inner.slot.end(AttemptOutcome::Abandoned);
             });
         }
     }
 }
 
-/// Is a request ready to be sent.
-pub(super) struct Outgoing {
+/// A request that is ready to be sent.
+pub(super) struct PreparedRequest {
     pub(super) request: reqwest::Request,
-    pub(super) held: HeldSlot,
-    /// When to give up.
-    pub(super) deadline: Option<Moment>,
-    pub(super) exceeded: Arc<AtomicBool>,
+    pub(super) held_slot: HeldSlot,
+    /// When to cancel the request.
+    pub(super) cancel_at: Option<Moment>,
+    pub(super) body_exceeded: Arc<AtomicBool>,
 }
--- a/crates/node/src/traffic/egress/slots.rs
+++ b/crates/node/src/traffic/egress/slots.rs
@@ -1,4 +1,4 @@
-//! The slots of the backend server, as tasks ask for them.
+//! Admission of requests to the backend server's slots.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 use quetzalrack_core::traffic::refusal::RefusalCode;
 use tokio::sync::oneshot;
 
-/// Gives out slots as [`Admission`] decides.
+/// Assigns slots to waiting tasks as [`Admission`] decides.
 pub(super) struct Slots {
     clock: Arc<dyn Clock>,
     state: Mutex<State>,
@@ -31,20 +31,20 @@
 #[derive(Default)]
 struct State {
     admission: Admission,
-    next: Ticket,
+    last_ticket: Ticket,
     waiting: HashMap<Ticket, Waiter>,
 }
 
 type Waiter = oneshot::Sender<Result<Slot, RefusalCode>>;
 
-/// Is a slot of the backend server; the holder says how its request ended.
+/// A slot of the backend server; its holder reports the outcome of the request.
 pub(super) struct Slot {
     slots: Arc<Slots>,
     ticket: Ticket,
-    open: bool,
+    held: bool,
 }
 
-struct Place {
+struct QueuedRequest {
     slots: Arc<Slots>,
     ticket: Ticket,
 }
@@ -57,36 +57,36 @@
         }
     }
 
-    /// Waits for a slot. Dropping the future gives the place in the line back.
+    /// Waits for a slot. Dropping the future removes the request from the wait queue.
     pub(super) async fn acquire(
         self: &Arc<Self>,
         route: &RouteSpec,
         deadline: Moment,
     ) -> Result<Slot, RefusalCode> {
         let (sender, receiver) = oneshot::channel();
-        let place = {
+        let queued = {
             let mut state = self.lock();
-            state.next = state.next.next();
-            let ticket = state.next;
+            state.last_ticket = state.last_ticket.next();
+            let ticket = state.last_ticket;
             state.waiting.insert(ticket, sender);
-            Place {
+            QueuedRequest {
                 slots: Arc::clone(self),
                 ticket,
             }
         };
-        self.step(AdmissionEvent::Arrived(AdmissionRequest {
-            ticket: place.ticket,
+        self.handle_event(AdmissionEvent::Arrived(AdmissionRequest {
+            ticket: queued.ticket,
             route: route.name.clone(),
             priority: route.priority,
             deadline,
         }));
-        // The sender is dropped without a word only if the process is going down.
+        // The sender is dropped without a result only while the process shuts down.
         receiver.await.unwrap_or(Err(RefusalCode::Overloaded))
     }
 
-    /// Passes an event on and hands out what follows from it.
-    pub(super) fn step(self: &Arc<Self>, event: AdmissionEvent) {
-        let mut given = Vec::new();
+    /// Passes an event to admission control and sends its decisions to the waiting tasks.
+    pub(super) fn handle_event(self: &Arc<Self>, event: AdmissionEvent) {
+        let mut decisions = Vec::new();
         {
             let mut state = self.lock();
             let actions = state.admission.step(self.clock.now(), event);
@@ -95,18 +95,18 @@
                     AdmissionAction::Admit(ticket) => (ticket, Ok(self.slot(ticket))),
                     AdmissionAction::Refuse(ticket, code) => (ticket, Err(code)),
                 };
-                given.push((state.waiting.remove(&ticket), outcome));
+                decisions.push((state.waiting.remove(&ticket), outcome));
             }
         }
-        // Outside the lock: a slot whose taker has gone is dropped here, and takes the lock again.
-        for (waiter, outcome) in given {
+        // Sent outside the lock: a slot whose task has gone is dropped here, which locks again.
+        for (waiter, outcome) in decisions {
             if let Some(waiter) = waiter {
                 let _ = waiter.send(outcome);
             }
         }
     }
 
-    /// Returns the load as other nodes are told of it.
+    /// Returns the load that is reported to other nodes.
     pub(super) fn load(&self) -> NodeLoad {
         let state = self.lock();
         let waiting = u32::try_from(state.admission.waiting()).unwrap_or(u32::MAX);
@@ -137,7 +137,7 @@
         Slot {
             slots: Arc::clone(self),
             ticket,
-            open: true,
+            held: true,
         }
     }
 
@@ -147,38 +147,37 @@
 }
 
 impl Slot {
-    /// Gives the slot back.
-    pub(super) fn end(mut self, end: AttemptOutcome) {
-        self.give_back(end);
+    /// Releases the slot.
+    pub(super) fn end(mut self, outcome: AttemptOutcome) {
+        self.release(outcome);
     }
 
-    fn give_back(&mut self, end: AttemptOutcome) {
-        if std::mem::take(&mut self.open) {
+    fn release(&mut self, outcome: AttemptOutcome) {
+        if std::mem::take(&mut self.held) {
             let ticket = self.ticket;
-            self.slots.step(AdmissionEvent::Ended {
-                ticket,
-                outcome: end,
-            });
+            self.slots
+                .handle_event(AdmissionEvent::Ended { ticket, outcome });
         }
     }
 }
 
 impl Drop for Slot {
-    /// A slot that is dropped was never used, or its request ended in a way that says nothing.
+    /// Releases a slot that was never used, or whose request ended without a usable outcome.
     fn drop(&mut self) {
-        self.give_back(AttemptOutcome::Abandoned);
+        self.release(AttemptOutcome::Abandoned);
     }
 }
 
-impl Drop for Place {
+impl Drop for QueuedRequest {
     fn drop(&mut self) {
         let waited = self.slots.lock().waiting.remove(&self.ticket).is_some();
         if waited {
-            self.slots.step(AdmissionEvent::Cancelled(self.ticket));
+            self.slots
+                .handle_event(AdmissionEvent::Cancelled(self.ticket));
         }
     }
 }
 
-fn microseconds(span: Duration) -> u32 {
-    u32::try_from(span.as_micros()).unwrap_or(u32::MAX)
+fn microseconds(duration: Duration) -> u32 {
+    u32::try_from(duration.as_micros()).unwrap_or(u32::MAX)
 }
--- a/crates/node/src/traffic/refusal.rs
+++ b/crates/node/src/traffic/refusal.rs
@@ -1,4 +1,4 @@
-//! A refusal on its way to a caller or to another node.
+//! The refusal that a node sends to a caller or to another node.
 
 use std::time::Duration;
 
@@ -14,14 +14,14 @@
 use quetzalrack_wire::headers;
 use serde::Serialize;
 
-/// How long a caller should wait where nothing better is known.
-const USUAL_RETRY: Duration = Duration::from_millis(500);
+/// How long a caller should wait before a retry if nothing more precise is known.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Is the answer of a node to a request that no backend server answered.
+/// A node's response to a request that no backend server has answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Refusal {
     pub(super) code: RefusalCode,
-    pub(super) retry: Option<Duration>,
+    pub(super) retry_after: Option<Duration>,
     pub(super) owner: Option<NodeName>,
 }
 
@@ -37,14 +37,14 @@
     fn from(code: RefusalCode) -> Self {
         Self {
             code,
-            retry: code.is_transient().then_some(USUAL_RETRY),
+            retry_after: code.is_transient().then_some(DEFAULT_RETRY_AFTER),
             owner: None,
         }
     }
 }
 
 impl Refusal {
-    /// Says that the node does not own the slice, and who it believes does.
+    /// Refuses a request for a slice that the node does not own, and names the owner if known.
     pub(super) fn not_owner(owner: Option<NodeName>) -> Self {
         Self {
             owner,
@@ -52,9 +52,9 @@
         }
     }
 
-    /// Returns what to tell the caller after an earlier attempt was refused as well. Once an
-    /// attempt may have run, no later one can make "not run" true.
-    pub(super) fn after(self, earlier: Option<Self>) -> Self {
+    /// Returns the refusal for the caller after an earlier attempt was refused as well. Once an
+    /// attempt may have run, a later "not run" does not hold for the request as a whole.
+    pub(super) fn merge_earlier(self, earlier: Option<Self>) -> Self {
         match earlier {
             Some(earlier)
                 if self.code.outcome() == WorkOutcome::NotRun
@@ -66,30 +66,32 @@
         }
     }
 
-    /// Reads a refusal that another node sent; none if the answer is a backend server's.
-    pub(super) fn read(answer: &HeaderMap) -> Option<Self> {
-        let text = |name: &str| answer.get(name).and_then(|value| value.to_str().ok());
+    /// Parses the refusal of another node; none if the response is a backend server's.
+    pub(super) fn from_headers(response: &HeaderMap) -> Option<Self> {
+        let text = |name: &str| response.get(name).and_then(|value| value.to_str().ok());
         let code = text(headers::REFUSAL)?.parse::<RefusalCode>().ok()?;
         let seconds = text(header::RETRY_AFTER.as_str()).and_then(|text| text.parse().ok());
         Some(Self {
             code,
-            retry: seconds.map(Duration::from_secs).or(Self::from(code).retry),
+            retry_after: seconds
+                .map(Duration::from_secs)
+                .or(Self::from(code).retry_after),
             owner: text(headers::OWNER).and_then(|name| name.parse().ok()),
         })
     }
 
-    /// Makes the answer.
+    /// Converts the refusal into an HTTP response.
     pub(super) fn into_response(self) -> Response<Body> {
         let body = RefusalBody {
             code: self.code,
             outcome: self.code.outcome(),
-            retry_after_ms: self.retry.map(|span| span.as_millis() as u64),
+            retry_after_ms: self.retry_after.map(|delay| delay.as_millis() as u64),
         };
         let text = serde_json::to_vec(&body).unwrap_or_default();
-        let mut answer = Response::new(Body::from(text));
-        *answer.status_mut() =
+        let mut response = Response::new(Body::from(text));
+        *response.status_mut() =
             StatusCode::from_u16(self.code.status()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
-        let map = answer.headers_mut();
+        let map = response.headers_mut();
         map.insert(
             header::CONTENT_TYPE,
             HeaderValue::from_static("application/json"),
@@ -98,9 +100,9 @@
             headers::REFUSAL,
             HeaderValue::from_static(self.code.as_str()),
         );
-        if let Some(span) = self.retry {
-            // The header has whole seconds; rounding up keeps a caller from coming too early.
-            let seconds = span.as_millis().div_ceil(1_000) as u64;
+        if let Some(delay) = self.retry_after {
+            // The header has whole seconds; rounding down would make callers retry too early.
+            let seconds = delay.as_millis().div_ceil(1_000) as u64;
             map.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
         }
         if let Some(value) = self
@@ -109,6 +111,6 @@
         {
             map.insert(headers::OWNER, value);
         }
-        answer
+        response
     }
 }
--- a/crates/node/src/traffic/running_traffic.rs
+++ b/crates/node/src/traffic/running_traffic.rs
@@ -1,4 +1,4 @@
-//! The running traffic threads.
+//! Start and stop of the traffic threads.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,26 +15,26 @@
 use crate::shared::HandoverLink;
 use crate::shared::SharedView;
 
-/// How long connections are still accepted, and closed by their next answer, after the node was
-/// asked to finish; by then the other nodes and the callers have gone elsewhere.
-pub(super) const LAST_CALL: Duration = Duration::from_millis(500);
+/// How long connections are still accepted, and closed with their next response, after a shutdown
+/// was requested; within this time the other nodes and the callers move to other nodes.
+pub(super) const SHUTDOWN_GRACE: Duration = Duration::from_millis(500);
 
 /// Opens the traffic port.
 pub struct Traffic;
 
-/// Is the open traffic port with its threads; dropping it cuts every request.
+/// The open traffic port and its threads; dropping it aborts every request.
 pub struct RunningTraffic {
     pub(super) core: Arc<TrafficCore>,
-    pub(super) finish: watch::Sender<bool>,
-    pub(super) served: watch::Receiver<bool>,
+    pub(super) shutdown: watch::Sender<bool>,
+    pub(super) stopped: watch::Receiver<bool>,
     address: SocketAddr,
     runtime: Option<Runtime>,
 }
 
 impl Traffic {
-    /// Opens the traffic port and serves it on threads of its own.
+    /// Opens the traffic port and serves it on its own threads.
     ///
-    /// Fails if the port is taken or the host gives no threads.
+    /// Fails if the port is in use or the operating system can't start the threads.
     pub fn bind(
         config: TrafficConfig,
         view: Arc<SharedView>,
@@ -47,30 +47,30 @@
             .enable_all()
             .build()
             .map_err(TrafficError::Threads)?;
-        let wanted = SocketAddr::new(config.address, config.port);
+        let requested = SocketAddr::new(config.address, config.port);
         let core = TrafficCore::new(config, view, clock, handovers)
             .map(Arc::new)
             .map_err(TrafficError::Connections)?;
         let listener = {
-            let _inside = runtime.enter();
-            server::listen(wanted)?
+            let _guard = runtime.enter();
+            server::listen(requested)?
         };
         let address = listener.local_addr().map_err(|source| TrafficError::Bind {
-            address: wanted,
+            address: requested,
             source,
         })?;
-        let (finish, finishing) = watch::channel(false);
-        let (done, served) = watch::channel(false);
-        let serving = Arc::clone(&core);
+        let (shutdown, shutdown_requested) = watch::channel(false);
+        let (stop, stopped) = watch::channel(false);
+        let shared_core = Arc::clone(&core);
         runtime.spawn(async move {
-            server::serve(listener, serving, finishing).await;
-            done.send_replace(true);
+            server::serve(listener, shared_core, shutdown_requested).await;
+            stop.send_replace(true);
         });
-        runtime.spawn(Arc::clone(&core.egress).keep_up());
+        runtime.spawn(Arc::clone(&core.egress).maintain());
         Ok(RunningTraffic {
             core,
-            finish,
-            served,
+            shutdown,
+            stopped,
             address,
             runtime: Some(runtime),
         })
@@ -78,7 +78,7 @@
 }
 
 impl RunningTraffic {
-    /// Returns the address on which requests are taken.
+    /// Returns the address on which requests are accepted.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/rack/src/traffic/hop/hop_request.rs
+++ b/crates/rack/src/traffic/hop/hop_request.rs
@@ -8,16 +8,16 @@
 use http::request::Parts;
 use http_body_util::Full;
 use quetzalrack_core::time::Moment;
-use quetzalrack_mesh::model::WorkKind;
+use quetzalrack_mesh::model::RequestKind;
 use quetzalrack_platform::request::RequestHeaders;
 
 use super::JOB_HEADER;
 use crate::traffic::job::Job;
 
-/// Writes a job as a request to another node. Times are sent as what is left of them, since the
-/// clocks of two hosts are never compared.
+/// Encodes a job as a request to another node. Times are sent as the time left, because the clocks
+/// of two hosts are never compared.
 pub(super) fn encode(now: Moment, job: &Job) -> Option<Request<Full<Bytes>>> {
-    let is_once = job.kind == WorkKind::Once;
+    let is_once = job.kind == RequestKind::Once;
     let text = format!(
         "{} {} {} {} {} {} {}",
         job.service,
@@ -38,7 +38,7 @@
     Some(request)
 }
 
-/// Reads a job from a request of another node.
+/// Decodes a request of another node; returns `None` if it is malformed.
 pub(super) fn decode(now: Moment, parts: Parts, body: Bytes) -> Option<Job> {
     let mut headers = parts.headers;
     let value = headers.remove(JOB_HEADER)?;
@@ -49,8 +49,8 @@
     let route = field()?.parse().ok()?;
     let rank = field()?.parse().ok()?;
     let kind = match field()? {
-        "0" => WorkKind::Idempotent,
-        _ => WorkKind::Once,
+        "0" => RequestKind::Idempotent,
+        _ => RequestKind::Once,
     };
     let mut time_left = || field()?.parse().ok().map(Duration::from_millis);
     let objective = now + time_left()?;
