--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -1,20 +1,21 @@
-//! The control thread: feeds the state machines of intent and ownership, and does what they ask.
+//! The control thread: passes events to the intent and ownership state machines and executes their
+//! actions.
 //!
-//! The thread itself never waits for I/O. Slow work runs on the service runtime, and its result
-//! comes back as an event; see `docs/design/processes.md`.
+//! The thread never waits for I/O. I/O runs on the service runtime, and its result comes back as an
+//! event; see `docs/design/processes.md`.
 
 mod control_board;
 mod control_event;
 mod control_inbox;
 mod control_loop;
 mod control_parts;
-mod end_notice;
-mod intent_side;
+mod exit_notifier;
+mod intent_driver;
+mod intent_queries;
 mod intent_sources;
 mod log_tail;
-mod ownership_side;
-mod peer_questions;
-mod server_watch;
+mod ownership_driver;
+mod server_tracker;
 mod slice_counts;
 
 pub use control_board::ControlBoard;
--- a/crates/node/src/platform/boundaries.rs
+++ b/crates/node/src/platform/boundaries.rs
@@ -1,4 +1,4 @@
-//! Everything outside one node, as one value.
+//! A node's external dependencies.
 
 use std::sync::Arc;
 
@@ -9,18 +9,18 @@
 use super::BackendHttp;
 use super::BootClock;
 use super::DatagramNetwork;
+use super::HttpClientError;
 use super::HttpLog;
 use super::KeyStore;
 use super::LogCounters;
-use super::OpenLogError;
 use super::PeerNetwork;
 use crate::settings::NodeSettings;
 use crate::shared::SharedView;
 
-/// Holds a node's far sides; a test or a bench replaces those that it wants to play itself.
+/// A node's external dependencies; tests and benchmarks replace some of them by their own.
 #[derive(Clone)]
 pub struct Boundaries {
-    /// The platform's log.
+    /// The platform's log service.
     pub log: Arc<dyn LogService>,
     /// The host's clocks.
     pub clock: Arc<dyn Clock>,
@@ -28,17 +28,17 @@
     pub peers: Arc<dyn PeerNetwork>,
     /// The backend server beside the node.
     pub backend: Arc<dyn BackendControl>,
-    /// What the log service costs.
+    /// Counts the bytes exchanged with the log service.
     pub log_counters: Arc<LogCounters>,
 }
 
 impl Boundaries {
-    /// Opens the real far sides that the settings name.
+    /// Opens the dependencies of a deployed node.
     pub fn open(
         settings: &NodeSettings,
         keys: Arc<KeyStore>,
         view: Arc<SharedView>,
-    ) -> Result<Self, OpenLogError> {
+    ) -> Result<Self, HttpClientError> {
         let log_counters = Arc::new(LogCounters::default());
         Ok(Self {
             log: Arc::new(HttpLog::open(&settings.log, log_counters.clone())?),
--- /dev/null
+++ b/crates/node/src/platform/http_client_error.rs
@@ -0,0 +1,7 @@
+//! Why an HTTP client can't be created.
+
+/// Why the HTTP client of the log service or the backend server can't be created.
+#[derive(Debug)]
+#[derive(thiserror::Error)]
+#[error("an HTTP client can't be created")]
+pub struct HttpClientError(#[from] reqwest::Error);
